--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -54,8 +54,8 @@
     domains: frozenset[str]
 
 
-def _domains(members: list[fleetview.Known]) -> frozenset[str]:
-    return frozenset(each.standing.domain for each in members)
+def _domains(members: list[fleetview.RunnerRecord]) -> frozenset[str]:
+    return frozenset(each.status.domain for each in members)
 
 
 class Alarms:
@@ -138,7 +138,7 @@
             is_back = known.runner.data_centre == data_centre
             after_ms = BACK_ASK_MS if is_back else self._confirmed_ms / 2
             runner = known.runner.id
-            asked_ms = max(known.silent_ms,
+            asked_ms = max(known.unanswered_ms,
                            self._asked_again_ms.get(runner, float("-inf")))
             if now_ms - asked_ms < after_ms:
                 continue
@@ -219,7 +219,7 @@
             self.probe(key, reason)
 
     async def _probe_members(self, key: model.GroupKey,
-                             members: list[fleetview.Known],
+                             members: list[fleetview.RunnerRecord],
                              reason: str) -> None:
         was_up = {each.runner.id for each in members if not each.down_ms}
         answers = await asyncio.gather(
@@ -246,7 +246,8 @@
         self._spread()
         self._look_around(key, members, now_ms)
 
-    def _look_around(self, key: model.GroupKey, members: list[fleetview.Known],
+    def _look_around(self, key: model.GroupKey,
+                     members: list[fleetview.RunnerRecord],
                      now_ms: float) -> None:
         """Asks the groups that may be down for the same cause as two others.
 
@@ -263,7 +264,7 @@
                     now_ms - last.at_ms > TOGETHER_MS):
                 continue
             shared = domains & last.domains
-            for each in self._view.groups_in(place):
+            for each in self._view.open_groups_in(place):
                 if shared and not shared & _domains(self._view.members(each)):
                     continue
                 if not self._requests.silence.moves(each, now_ms):
--- a/cardamommill/gateway/backpressure.py
+++ b/cardamommill/gateway/backpressure.py
@@ -94,7 +94,7 @@
                 self._take_rest(request, runner, rest_ms, now_ms)
 
     def _take_leaving(self, request: str, runner: str, now_ms: float) -> None:
-        if self._view.take_leaving(runner, now_ms):
+        if self._view.record_leaving(runner, now_ms):
             _LOG.info(
                 logs.line("runner-told-leaving", runner=runner,
                           request=request))
--- a/cardamommill/gateway/choosing.py
+++ b/cardamommill/gateway/choosing.py
@@ -84,30 +84,30 @@
                 yield from self._stage(engine, scope, domains[domain], need,
                                        now_ms)
 
-    def is_free(self, known: fleetview.Known) -> bool:
+    def is_free(self, known: fleetview.RunnerRecord) -> bool:
         """Whether a runner may join a group or load for one."""
         runner_id = known.runner.id
-        if not known.usable or known.membership is not None:
+        if not known.is_usable or known.membership is not None:
             return False
-        if not known.is_counted:
+        if not known.has_exact_order_count:
             return False
         return (runner_id not in self._pending and
                 not self._formations.has_member(runner_id))
 
     def _by_place(
-            self, service: str, scope: planning.Scope
-    ) -> dict[str, dict[str, list[fleetview.Known]]]:
+        self, service: str, scope: planning.Scope
+    ) -> dict[str, dict[str, list[fleetview.RunnerRecord]]]:
         """Returns its runners by data centre and by domain."""
-        places: dict[str, dict[str, list[fleetview.Known]]] = {}
-        for known in self._view.of_service(service):
+        places: dict[str, dict[str, list[fleetview.RunnerRecord]]] = {}
+        for known in self._view.runners_of(service):
             place = known.runner.data_centre
             if place in scope.data_centres:
-                places.setdefault(place, {}).setdefault(known.standing.domain,
+                places.setdefault(place, {}).setdefault(known.status.domain,
                                                         []).append(known)
         return places
 
     def _stage(self, engine: model.Engine, scope: planning.Scope,
-               runners: list[fleetview.Known], need: overload.Need,
+               runners: list[fleetview.RunnerRecord], need: overload.Need,
                now_ms: float) -> Iterator[planning.Action]:
         if scope.in_lead and self._loading(now_ms):
             # Groups first: staging shares the store's bandwidth. Not until they
@@ -118,7 +118,7 @@
         yield from self._spares.stage(engine, scope, free, need, now_ms)
 
     def _need(self, service: str, engine: model.Engine,
-              runners: list[fleetview.Known]) -> overload.Need:
+              runners: list[fleetview.RunnerRecord]) -> overload.Need:
         ids = {each.runner.id for each in runners}
         holds: dict[str, int] = {}
         for name, members in self._members_by_model(service):
@@ -131,7 +131,7 @@
                                for each in engine.models
                                if self._overload.is_overloaded(each.name))
         return overload.Need(overloaded, holds,
-                             sum(each.usable for each in runners),
+                             sum(each.is_usable for each in runners),
                              self._fullness(service, engine))
 
     def _fullness(self, service: str, engine: model.Engine) -> dict[str, float]:
@@ -144,7 +144,7 @@
         return found
 
     def _form(self, service: str, engine: model.Engine, scope: planning.Scope,
-              runners: list[fleetview.Known],
+              runners: list[fleetview.RunnerRecord],
               now_ms: float) -> Iterator[planning.Action]:
         while True:
             free = [each for each in runners if self.is_free(each)]
@@ -159,7 +159,7 @@
                                               picked, now_ms)
 
     def _form_far(self, service: str, engine: model.Engine,
-                  scope: planning.Scope, runners: list[fleetview.Known],
+                  scope: planning.Scope, runners: list[fleetview.RunnerRecord],
                   largest_domain: int,
                   now_ms: float) -> Iterator[planning.Action]:
         # A group over two domains is slower, but it serves; it may use up
@@ -184,8 +184,8 @@
 
     def _is_short(self, service: str, engine: model.Engine,
                   served: model.ServedModel, scope: planning.Scope,
-                  runners: list[fleetview.Known]) -> bool:
-        usable = sum(each.usable for each in runners)
+                  runners: list[fleetview.RunnerRecord]) -> bool:
+        usable = sum(each.is_usable for each in runners)
         ids = {each.runner.id for each in runners}
         wanted = max(
             1, round(served.share * usable * (1 - SPARE_SHARE) / served.size))
@@ -205,7 +205,7 @@
         return load > BUSY_PART * engine.slots * len(serving)
 
     def _by_need(self, service: str, engine: model.Engine,
-                 runners: list[fleetview.Known],
+                 runners: list[fleetview.RunnerRecord],
                  now_ms: float) -> list[model.ServedModel]:
         # The model with the fewest runners for its share of the work first,
         # in the domain and then over all. Once work was seen, one that a
@@ -249,16 +249,16 @@
                 }
 
     def _pick(self, engine: model.Engine, served: model.ServedModel,
-              scope: planning.Scope, runners: list[fleetview.Known],
-              free: list[fleetview.Known],
-              now_ms: float) -> list[fleetview.Known] | None:
+              scope: planning.Scope, runners: list[fleetview.RunnerRecord],
+              free: list[fleetview.RunnerRecord],
+              now_ms: float) -> list[fleetview.RunnerRecord] | None:
         if len(free) < served.size:
             return None
         ranked = sorted(free, key=lambda each: planning.join_ms(each, served))
         picked = ranked[:served.size]
         cold = sum(not planning.is_warm(each, served) for each in picked)
         has_group = any(
-            not self.is_free(each) and each.usable for each in runners)
+            not self.is_free(each) and each.is_usable for each in runners)
         if has_group and not any(each.last_model for each in picked):
             reserve = round(SPARE_SHARE * len(runners))
             # Spares are of no use to callers who wait, and in a large domain
--- a/cardamommill/gateway/consolidation.py
+++ b/cardamommill/gateway/consolidation.py
@@ -24,7 +24,7 @@
 CLOSE_AGAIN_MS = 1500.0
 QUICKER = "a quick group can be made"
 
-IsFree = Callable[[fleetview.Known], bool]
+IsFree = Callable[[fleetview.RunnerRecord], bool]
 
 
 @dataclasses.dataclass(slots=True)
@@ -76,9 +76,9 @@
                    for each in self._given_up.values())
 
     def step(self, service: str, engine: model.Engine,
-             groups: dict[model.GroupKey,
-                          fleetview.Group], runners: list[fleetview.Known],
-             is_free: IsFree, now_ms: float) -> Iterator[planning.Action]:
+             groups: dict[model.GroupKey, fleetview.Group],
+             runners: list[fleetview.RunnerRecord], is_free: IsFree,
+             now_ms: float) -> Iterator[planning.Action]:
         """Returns what to do for the groups of one data centre.
 
         Args:
@@ -121,7 +121,7 @@
     def _begin(self, service: str, engine: model.Engine,
                served: model.ServedModel, groups: dict[model.GroupKey,
                                                        fleetview.Group],
-               runners: list[fleetview.Known], is_free: IsFree,
+               runners: list[fleetview.RunnerRecord], is_free: IsFree,
                now_ms: float) -> Iterator[planning.Action]:
         ids = {each.runner.id for each in runners}
         slow = [
@@ -132,7 +132,7 @@
         if not slow:
             return
         warm = collections.Counter(
-            known.standing.domain
+            known.status.domain
             for known in runners
             if is_free(known) and planning.is_warm(known, served))
         for group in _worth_it(slow, warm, served.size, engine.far_factor):
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -182,7 +182,7 @@
         if served is None:
             return placing.Refused("no such model",
                                    admitting.DEFAULT_RETRY_AFTER_MS)
-        heads: dict[model.GroupKey, fleetview.Known] = {}
+        heads: dict[model.GroupKey, fleetview.RunnerRecord] = {}
         candidates = []
         others = 0
         for each in self.standing.of_model(service.name, served.name):
@@ -231,8 +231,8 @@
         now_ms = clock.now_ms()
         tried = {each.known.runner.id for each in one.tried}
         usable = [
-            each for each in self._view.of_service(service.name)
-            if each.usable and each.runner.id not in tried
+            each for each in self._view.runners_of(service.name)
+            if each.is_usable and each.runner.id not in tried
         ]
         if not usable:
             return placing.Refused("no runner",
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -24,8 +24,8 @@
     nodelink,
     openedgroups,
     peermessage,
-    peerrows,
     peers,
+    peertables,
     planning,
     platformreader,
     questions,
@@ -33,11 +33,11 @@
     replies,
     reporting,
     routetable,
-    rowsource,
     settingsfile,
-    sources,
+    sourceselector,
     standing,
-    tables,
+    tablecopies,
+    tablereader,
     upstream,
 )
 from cardamommill.platform import storecalls, words
@@ -87,9 +87,10 @@
         self._freshness = freshness.Freshness(settings.bounds.revoke_ms)
         self._store = storecalls.Store(self.pool,
                                        entrysettings.address(settings.platform))
-        copies = tables.Tables()
+        copies = tablecopies.TableCopies()
         self._rows = callers.CallerServer(
-            peerrows.RowServer(copies, self.spawn).on_request, self._on_refused)
+            peertables.PeerTableServer(copies, self.spawn).on_request,
+            self._on_refused)
         self._reader = platformreader.PlatformReader(
             self._source(words.OPERATOR_TABLE, copies),
             self._source(words.SERVERS_TABLE, copies), self.view,
@@ -101,7 +102,7 @@
         self._keeper = groupkeeper.GroupKeeper(
             self.view, self.pool,
             f"{settings.node[:24]}-{self._incarnation % 36**5:x}",
-            self._on_opened, self._reader.read_list_now, self.spawn)
+            self._on_opened, self._reader.request_list_read, self.spawn)
         self._link = nodelink.NodeLink(settings, self._peers, self._compose,
                                        self._on_message, self._on_return)
         self._alarms = alarms.Alarms(
@@ -116,10 +117,11 @@
         self._ticks = 0
         self._done: asyncio.Event
 
-    def _source(self, table: str, copies: tables.Tables) -> rowsource.RowSource:
-        choice = sources.Sources(self._settings.node, self._peers)
-        return rowsource.RowSource(self._store, self.pool, choice, table,
-                                   copies.table(table))
+    def _source(self, table: str,
+                copies: tablecopies.TableCopies) -> tablereader.TableReader:
+        choice = sourceselector.SourceSelector(self._settings.node, self._peers)
+        return tablereader.TableReader(self._store, self.pool, choice, table,
+                                       copies.table(table))
 
     def __enter__(self) -> Self:
         self._handler = logs.LogHandler(self._settings.logging,
@@ -227,7 +229,7 @@
 
     def _on_message(self, message: peermessage.PeerMessage,
                     now_ms: float) -> None:
-        if self._reader.misses(message.config_version):
+        if self._reader.should_catch_up(message.config_version):
             self.spawn(self._reader.catch_up())
         is_far = message.data_centre != self._settings.data_centre
         if message.sums is not None:
@@ -271,7 +273,7 @@
             stopping=bool(self._stopping_ms),
             plans_ms=self._peers.plans_ms(now_ms),
             sums=self._sums(now_ms, audience),
-            store_lost=self._reader.lost_store(now_ms),
+            store_lost=self._reader.has_lost_store(now_ms),
             limits=() if is_far else self._requests.backpressure.news(now_ms))
 
     def _sums(self, now_ms: float,
--- a/cardamommill/gateway/eras.py
+++ b/cardamommill/gateway/eras.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 
-class Position(NamedTuple):
+class TablePosition(NamedTuple):
     """How far a table is known.
 
     Attributes:
@@ -20,7 +20,7 @@
     version: int
 
 
-class Eras:
+class EraTracker:
     """The newest era that any answer told of."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         """The era in which this node heard of the store first."""
         return self._first or 0
 
-    def see(self, era: int) -> bool:
+    def observe(self, era: int) -> bool:
         """Takes the era of an answer; True where the store was restored."""
         if self._first is None:
             self._first = self._newest = era
@@ -52,7 +52,7 @@
                 each.set_result(None)
         return True
 
-    async def newer_than(self, era: int, within_ms: float) -> bool:
+    async def wait_for_newer(self, era: int, within_ms: float) -> bool:
         """Returns once the store is in a newer era, or after a time.
 
         Returns:
--- a/cardamommill/gateway/fleetsummary.py
+++ b/cardamommill/gateway/fleetsummary.py
@@ -17,14 +17,14 @@
     """
 
     is_ours: Callable[[fleetview.Group], bool]
-    is_free: Callable[[fleetview.Known], bool]
+    is_free: Callable[[fleetview.RunnerRecord], bool]
     spares: spares.Spares
 
 
 def summary(groups: Iterable[fleetview.Group],
             formations: Iterable[planning.Formation],
-            runners: Iterable[fleetview.Known], service: str, judges: Judges,
-            scope: planning.Scope) -> dict[str, str]:
+            runners: Iterable[fleetview.RunnerRecord], service: str,
+            judges: Judges, scope: planning.Scope) -> dict[str, str]:
     """Returns counts by what runners and groups do, and by model.
 
     Args:
@@ -57,7 +57,7 @@
     }
 
 
-def _add_runner(known: fleetview.Known, judges: Judges,
+def _add_runner(known: fleetview.RunnerRecord, judges: Judges,
                 add: Callable[[str, str], None]) -> None:
     if known.down_ms:
         add("down", "runners")
--- a/cardamommill/gateway/formations.py
+++ b/cardamommill/gateway/formations.py
@@ -108,13 +108,13 @@
             # The head serves this long after it accepted; were it not so, it
             # would refuse what is sent, as not run.
             if now_ms >= formation.open_accepted_ms + engine.form_ms + 10:
-                self._view.take_open(head.runner.id, formation.key,
-                                     formation.model.name)
+                self._view.record_open_group(head.runner.id, formation.key,
+                                             formation.model.name)
         elif head.runner.id not in self._pending:
             formation.open_sent_ms = 0.0
             yield planning.ReadList()
 
-    def _look(self, unready: list[fleetview.Known],
+    def _look(self, unready: list[fleetview.RunnerRecord],
               now_ms: float) -> Iterator[planning.Action]:
         # The list is told at once and reports are old, but a node that is cut
         # off from the store would wait for the list for as long as that lasts:
@@ -126,11 +126,12 @@
             yield planning.Probe(each.runner.id, "should be ready")
 
     def _fault(self, formation: planning.Formation,
-               members: list[fleetview.Known | None], now_ms: float) -> str:
+               members: list[fleetview.RunnerRecord | None],
+               now_ms: float) -> str:
         if formation.refused:
             return formation.refused
         for runner_id, known in zip(formation.members, members, strict=True):
-            if known is None or not known.usable:
+            if known is None or not known.is_usable:
                 return f"{runner_id} is gone, down or leaving"
             membership = known.membership
             elsewhere = (membership is not None and
@@ -166,7 +167,7 @@
 
     def begin(self, service: str, engine: model.Engine,
               served: model.ServedModel, scope: planning.Scope,
-              picked: list[fleetview.Known],
+              picked: list[fleetview.RunnerRecord],
               now_ms: float) -> Iterator[planning.Action]:
         """Begins a group with these members, the head first."""
         self._count += 1
@@ -243,8 +244,8 @@
             formation.due_ms = max(formation.due_ms,
                                    now_ms + takes_ms + DUE_MARGIN_MS)
 
-    def leave(self, key: model.GroupKey,
-              members: list[fleetview.Known] | list[fleetview.Known | None],
+    def leave(self, key: model.GroupKey, members: list[fleetview.RunnerRecord] |
+              list[fleetview.RunnerRecord | None],
               reason: str) -> Iterator[planning.Action]:
         """Has all members that can be reached leave a group."""
         # A member leaves itself before it joins anything else: its old head
@@ -261,7 +262,7 @@
             # answers as if it were done. Taken for an order that counted, two
             # of them made up for what another planner had ordered, and the
             # next join took it out of an open group.
-            count = known.orders_begun if known.is_counted else None
+            count = known.orders_begun if known.has_exact_order_count else None
             yield orders.Order(known.runner.id,
                                orders.Operation.LEAVE,
                                key,
--- a/cardamommill/gateway/groupkeeper.py
+++ b/cardamommill/gateway/groupkeeper.py
@@ -115,7 +115,7 @@
             self._take_accepted(order, known, reply, now_ms)
             self.planner.accepted(order, now_ms)
         else:
-            self._view.take_refusal(order.runner, now_ms)
+            self._view.record_order_refusal(order.runner, now_ms)
             self.planner.refused(order,
                                  reply.value,
                                  now_ms,
@@ -136,7 +136,7 @@
             await self.ask(order.runner, "order not accepted")
             self.planner.settled(order)
 
-    def _take_accepted(self, order: orders.Order, known: fleetview.Known,
+    def _take_accepted(self, order: orders.Order, known: fleetview.RunnerRecord,
                        reply: ordercalls.Reply, now_ms: float) -> None:
         left = order.operation is orders.Operation.LEAVE
         # Leaving is done at once, and counts as an order that began.
@@ -151,7 +151,7 @@
         elif order.operation is orders.Operation.CLOSE and membership:
             membership = dataclasses.replace(membership,
                                              state=model.MemberState.CLOSING)
-        self._view.take_order(order.runner, begun, membership, now_ms)
+        self._view.record_order(order.runner, begun, membership, now_ms)
 
     async def _probe(self, probe: planning.Probe) -> None:
         await self.ask(probe.runner, probe.reason)
@@ -169,12 +169,12 @@
         asked_ms = clock.now_ms()
         report = await self._ask_twice(known.runner)
         if report is None:
-            if self._view.take_silence(runner_id, asked_ms):
+            if self._view.record_no_answer(runner_id, asked_ms):
                 _LOG.warning(
                     logs.line("runner-down", runner=runner_id, reason=reason))
             return False
         was_down = bool(known.down_ms)
-        self._view.take_report(runner_id, report, asked_ms, self._lag_ms)
+        self._view.apply_report(runner_id, report, asked_ms, self._lag_ms)
         if was_down:
             _LOG.info(logs.line("runner-answers", runner=runner_id))
         return True
--- a/cardamommill/gateway/grouploads.py
+++ b/cardamommill/gateway/grouploads.py
@@ -23,7 +23,7 @@
 
         Args:
             near: Of nodes that tell each for itself, by group.
-            far: Sums of other data centres, by the group's mark.
+            far: Sums of other data centres, by the group's short id.
             age_ms: How old it is, in the mean.
         """
         self._near = near
@@ -33,7 +33,7 @@
     def others(self, key: model.GroupKey) -> flights.GroupLoad:
         """Returns the requests of all other nodes at a group."""
         return self._near.get(key, flights.NO_LOAD).plus(
-            self._far.get(key.mark, flights.NO_LOAD))
+            self._far.get(key.short_id, flights.NO_LOAD))
 
     def load(self, key: model.GroupKey) -> flights.GroupLoad:
         """Returns the requests of all nodes at a group."""
--- a/cardamommill/gateway/memberships.py
+++ b/cardamommill/gateway/memberships.py
@@ -12,9 +12,9 @@
 _SERVING = frozenset({model.MemberState.OPEN, model.MemberState.CLOSING})
 
 
-def is_blank(standing: model.Standing) -> bool:
+def is_empty_status(status: model.RunnerStatus) -> bool:
     """Whether nobody can have ordered anything of a runner yet."""
-    return not (standing.staged or standing.models or standing.membership)
+    return not (status.staged or status.models or status.membership)
 
 
 def place(membership: model.Membership | None) -> model.GroupKey | None:
@@ -22,8 +22,9 @@
     return membership.key if membership is not None else None
 
 
-def goes_on(before: model.Membership | None, after: model.Membership | None,
-            said: model.Membership | None) -> bool:
+def is_successor(before: model.Membership | None,
+                 after: model.Membership | None,
+                 said: model.Membership | None) -> bool:
     """Whether a place in a group is the same one, later.
 
     Args:
--- a/cardamommill/gateway/model.py
+++ b/cardamommill/gateway/model.py
@@ -27,13 +27,13 @@
         return f"{self.name}:{self.epoch}"
 
     @property
-    def mark(self) -> int:
+    def short_id(self) -> int:
         """A short name, for sums of which a datagram must hold many."""
-        return _mark(self)
+        return _short_id(self)
 
 
 @functools.lru_cache(maxsize=4096)
-def _mark(key: GroupKey) -> int:
+def _short_id(key: GroupKey) -> int:
     return zlib.crc32(str(key).encode())
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class RunnerStatus:
     """What a runner says of itself, by whichever way.
 
     Attributes:
@@ -74,7 +74,7 @@
     """A runner's own answer about itself.
 
     Attributes:
-        standing: What the list tells too, later.
+        status: What the list tells too, later.
         orders_begun: Orders that began something, in this life.
         busy: Whether one is under way.
         waiting: Requests in its queue.
@@ -82,7 +82,7 @@
         pace: Over 1 means slow.
     """
 
-    standing: Standing
+    status: RunnerStatus
     orders_begun: int
     busy: bool
     waiting: int
@@ -107,7 +107,7 @@
     leaving: bool
     slots: int
     row_version: int
-    standing: Standing
+    status: RunnerStatus
     row_era: int = 0
 
     @property
--- a/cardamommill/gateway/nodelink.py
+++ b/cardamommill/gateway/nodelink.py
@@ -12,7 +12,7 @@
     entrysettings,
     peermessage,
     peers,
-    sources,
+    sourceselector,
 )
 from cardamommill.platform import storecalls, words
 
@@ -135,7 +135,7 @@
             if near > heard:
                 heard, changed_ms = near, clock.now_ms()
             is_quiet = clock.now_ms() - changed_ms >= QUIET_MS
-            if near >= sources.READERS and is_quiet:
+            if near >= sourceselector.READERS_PER_DATA_CENTRE and is_quiet:
                 return
             await asyncio.sleep(CONTACT_LOOK_MS / 1000)
 
@@ -160,8 +160,8 @@
                     _LOG.info(logs.line("node-found", node=row.key))
             self._has_found = True
             others = len(self._peers.alive(clock.now_ms()))
-            if await store.eras.newer_than(registered_era,
-                                           _find_again_ms(others)):
+            if await store.eras.wait_for_newer(registered_era,
+                                               _find_again_ms(others)):
                 # All nodes write their rows again, but not at once.
                 spread_ms = REGISTER_EACH_MS * (1 + others)
                 await asyncio.sleep(random.uniform(0, spread_ms) / 1000)
--- a/cardamommill/gateway/openedgroups.py
+++ b/cardamommill/gateway/openedgroups.py
@@ -33,7 +33,8 @@
                 nodes of this one are told, too.
             now_ms: The time.
         """
-        if not self._view.take_open(opened.head, opened.key, opened.model):
+        if not self._view.record_open_group(opened.head, opened.key,
+                                            opened.model):
             return False
         _LOG.info(logs.line("group-open-heard", group=opened.key, peer=peer))
         if is_far:
--- a/cardamommill/gateway/peermessage.py
+++ b/cardamommill/gateway/peermessage.py
@@ -117,8 +117,9 @@
     in_flight = [[key.name, key.epoch, *_numbers(load)]
                  for key, load in message.in_flight.items()]
     sums = [[
-        mark, *_numbers(load)
-    ] for mark, load in (message.sums.loads.items() if message.sums else ())]
+        short_id, *_numbers(load)
+    ] for short_id, load in (message.sums.loads.items() if message.sums else ())
+           ]
     while True:
         data = _packed(message, in_flight, sums)
         if len(data) <= MAX_BYTES - _HEAD.size or not (in_flight or sums):
@@ -231,5 +232,5 @@
         return None
     age_ms, loads = told
     return reporting.Sums(float(age_ms), {
-        int(mark): _load(numbers) for mark, *numbers in loads
+        int(short_id): _load(numbers) for short_id, *numbers in loads
     })
--- a/cardamommill/gateway/peerrows.py
+++ b/cardamommill/gateway/peertables.py
@@ -14,7 +14,7 @@
     eras,
     fetching,
     replies,
-    tables,
+    tablecopies,
     upstream,
 )
 from cardamommill.platform import storecalls
@@ -23,11 +23,11 @@
 _STEP = "peer rows"
 # A peer answers from its memory; one that has fallen silent is left for the
 # store soon, since what is known of leaving runners must stay young.
-ANSWER_MS = 250.0
+ANSWER_TIMEOUT_MS = 250.0
 # A peer that has just started may read its first copy within this.
-FIRST_COPY_MS = 200.0
+FIRST_COPY_TIMEOUT_MS = 200.0
 # The longest that anybody waits for news in one call.
-MOST_WAIT_MS = 2000.0
+MAX_WAIT_MS = 2000.0
 
 _OK = 200
 _GONE = 410
@@ -36,15 +36,15 @@
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
-class PeerUnready(exceptions.StoreError):
+class PeerNotReady(exceptions.StoreError):
     """A peer has no copy of a table yet."""
 
 
-class PeerRows:
+class PeerTableClient:
     """The tables of one peer; asked like the store."""
 
     def __init__(self, pool: upstream.Pool, address: upstream.Address,
-                 known: eras.Eras) -> None:
+                 known: eras.EraTracker) -> None:
         """Makes it.
 
         Args:
@@ -64,9 +64,9 @@
             StoreError: No answer that can be used.
         """
         query = {"table": table, "era": self._eras.newest}
-        return await self._ask(query, ANSWER_MS)
+        return await self._ask(query, ANSWER_TIMEOUT_MS)
 
-    async def feed(self, table: str, after: eras.Position,
+    async def feed(self, table: str, after: eras.TablePosition,
                    wait_ms: int) -> storecalls.Rows:
         """Returns what changed in a table, when something has.
 
@@ -80,7 +80,7 @@
             "after": after.version,
             "wait_ms": wait_ms
         }
-        rows = await self._ask(query, wait_ms + ANSWER_MS)
+        rows = await self._ask(query, wait_ms + ANSWER_TIMEOUT_MS)
         if rows.era != after.era:
             raise storecalls.Restored(f"era {rows.era} in place of {after.era}",
                                       step=_STEP,
@@ -96,16 +96,16 @@
         answer = await fetching.fetch(self._pool, self._address, request,
                                       timeout_ms)
         if answer.head.status == _UNREADY:
-            raise PeerUnready(f"status {_UNREADY}: not read yet",
-                              step=_STEP,
-                              peer=self._peer)
+            raise PeerNotReady(f"status {_UNREADY}: not read yet",
+                               step=_STEP,
+                               peer=self._peer)
         storecalls.check(answer, _STEP, self._peer)
         rows = self._decoded(answer.body, asked_ms)
-        self._eras.see(rows.era)
+        self._eras.observe(rows.era)
         if rows.era < self._eras.newest:
-            raise PeerUnready(f"of era {rows.era}, not {self._eras.newest}",
-                              step=_STEP,
-                              peer=self._peer)
+            raise PeerNotReady(f"of era {rows.era}, not {self._eras.newest}",
+                               step=_STEP,
+                               peer=self._peer)
         return rows
 
     def _decoded(self, body: bytes, asked_ms: float) -> storecalls.Rows:
@@ -158,10 +158,10 @@
         self.left = True
 
 
-class RowServer:
+class PeerTableServer:
     """Answers peers from this node's copies."""
 
-    def __init__(self, copies: tables.Tables, spawn: Spawn) -> None:
+    def __init__(self, copies: tablecopies.TableCopies, spawn: Spawn) -> None:
         self._copies = copies
         self._spawn = spawn
 
@@ -175,7 +175,7 @@
             question = _Question(
                 int(fields["after"]) if "after" in fields else None,
                 int(fields["era"]) if "era" in fields else None,
-                min(MOST_WAIT_MS, float(fields.get("wait_ms", 0))),
+                min(MAX_WAIT_MS, float(fields.get("wait_ms", 0))),
                 clock.now_ms())
         except (KeyError, ValueError):
             reply.whole(400, [], b"no table, or no number\n")
@@ -184,11 +184,11 @@
             reply.whole(404, [], b"no such page\n")
             return None
         table = self._copies.table(name)
-        if table.is_read and question.after is None:
+        if table.is_loaded and question.after is None:
             _answer(reply, table, table.whole(), question)
             return None
         waiting = _Waiting()
-        if table.is_read:
+        if table.is_loaded:
             later = _answer_changes(reply, table, waiting, question)
         else:
             later = _answer_first(reply, table, waiting, question)
@@ -196,27 +196,27 @@
         return waiting
 
 
-async def _answer_first(reply: replies.Reply, table: tables.Table,
+async def _answer_first(reply: replies.Reply, table: tablecopies.TableCopy,
                         waiting: _Waiting, question: _Question) -> None:
     """Answers once there is a copy.
 
     Of nodes that start together those that read are no sooner than those that
     follow them; told that there is nothing yet, all turned to the store.
     """
-    await table.changed(FIRST_COPY_MS)
+    await table.wait_for_change(FIRST_COPY_TIMEOUT_MS)
     if waiting.left:
         return
-    if table.is_read:
+    if table.is_loaded:
         _answer(reply, table, table.whole(), question)
     else:
         reply.whole(_UNREADY, [], b"not read yet\n")
 
 
-async def _answer_changes(reply: replies.Reply, table: tables.Table,
+async def _answer_changes(reply: replies.Reply, table: tablecopies.TableCopy,
                           waiting: _Waiting, question: _Question) -> None:
     until_ms = question.asked_ms + question.wait_ms
     while not waiting.left:
-        rows = table.since(question.after or 0)
+        rows = table.changes_since(question.after or 0)
         if rows is None or question.is_of_other_era(table.era):
             reply.whole(_GONE, [], b"forgotten\n")
             return
@@ -224,10 +224,10 @@
         if rows or left_ms <= 0:
             _answer(reply, table, rows, question)
             return
-        await table.changed(left_ms)
+        await table.wait_for_change(left_ms)
 
 
-def _answer(reply: replies.Reply, table: tables.Table,
+def _answer(reply: replies.Reply, table: tablecopies.TableCopy,
             rows: tuple[storecalls.Row, ...], question: _Question) -> None:
     """Answers with rows, and their age as of the question.
 
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -50,11 +50,12 @@
         """Forgets old faults."""
         clock.forget_old(self._faults_ms, float, 10 * FAULT_MS, now_ms)
 
-    def best(self, usable: Iterable[fleetview.Known],
-             now_ms: float) -> fleetview.Known:
+    def best(self, usable: Iterable[fleetview.RunnerRecord],
+             now_ms: float) -> fleetview.RunnerRecord:
         """Returns the runner that should get the next request."""
 
-        def cost(known: fleetview.Known) -> tuple[bool, int, bool, float]:
+        def cost(
+                known: fleetview.RunnerRecord) -> tuple[bool, int, bool, float]:
             runner = known.runner
             fault_ms = self._faults_ms.get(runner.id, float("-inf"))
             odds = self._tries.fail_odds(runner.id, now_ms)
--- a/cardamommill/gateway/planner.py
+++ b/cardamommill/gateway/planner.py
@@ -125,7 +125,7 @@
         """Returns how the runners of this planner are used, for the log."""
         return fleetsummary.summary(
             self._view.groups(service).values(), self.formations.values(),
-            self._view.of_service(service), service,
+            self._view.runners_of(service), service,
             fleetsummary.Judges(
                 lambda group: reconciliation.is_ours(group, scope),
                 self._choosing.is_free, self._spares), scope)
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -86,7 +86,7 @@
                                 flights.NO_LOAD)
 
 
-def is_ready(known: fleetview.Known, key: model.GroupKey) -> bool:
+def is_ready(known: fleetview.RunnerRecord, key: model.GroupKey) -> bool:
     """Whether a runner says that it is ready in a group, or serves."""
     membership = known.membership
     return (membership is not None and membership.key == key and
@@ -94,15 +94,15 @@
             in (model.MemberState.READY, model.MemberState.OPEN))
 
 
-def is_warm(known: fleetview.Known, served: model.ServedModel) -> bool:
+def is_warm(known: fleetview.RunnerRecord, served: model.ServedModel) -> bool:
     """Whether a runner joins a group of a model without a load."""
     return join_ms(known, served) <= served.warm_ms
 
 
-def join_ms(known: fleetview.Known, served: model.ServedModel) -> float:
+def join_ms(known: fleetview.RunnerRecord, served: model.ServedModel) -> float:
     """Returns what it takes a runner to join a group of a model."""
     if known.last_model == served.name:
         return REJOIN_MS
-    if served.name in known.standing.staged:
+    if served.name in known.status.staged:
         return served.warm_ms
     return served.load_ms
--- a/cardamommill/gateway/platformreader.py
+++ b/cardamommill/gateway/platformreader.py
@@ -14,44 +14,44 @@
     model,
     restoration,
     routetable,
-    rowsource,
+    tablereader,
 )
 from cardamommill.platform import configurations, entries, storecalls, words
 
 # An unanswered feed confirms nothing: it is asked to wait for this part of the
 # time in which a key that was taken away may still work. Meanwhile peers tell
 # what they confirmed.
-FEED_PART = 0.5
+FEED_WAIT_RATIO = 0.5
 # What changed in the list is asked for each such part of the drain bound,
 # however much changes, so that it is known well within it; whoever waits for a
 # change that is due has it asked for sooner.
-LIST_PART = 0.6
+LIST_INTERVAL_RATIO = 0.6
 # Runners whose entries lapsed while the store was away write them anew within
 # this of its return; until then the list is asked for this often, since nobody
 # is sent to a runner that it does not name.
-BACK_MS = 2500.0
-BACK_LIST_MS = 200.0
+RECOVERY_MS = 2500.0
+RECOVERY_LIST_INTERVAL_MS = 200.0
 # An answer without news is asked for before the list is older than this part of
 # the drain bound. What changes is answered at once: a node that does not get it
 # is cut off.
-LIST_WAIT_PART = 0.8
+LIST_WAIT_RATIO = 0.8
 # Whoever follows a node that is cut off leaves it once its list is this old,
 # which no sound one lets it become, and has some time to ask the store before
 # the bound is over.
-OLDEST_LIST_PART = 0.9
+MAX_LIST_AGE_RATIO = 0.9
 # Older than this the list is not followed any more.
-LIST_STALE_PART = 1.4
+LIST_STALE_RATIO = 1.4
 # A peer that reads the configuration may have heard of it this part of the time
 # in which a key may still work ago: its feed's wait, and a lost answer.
-OLDEST_PART = 0.7
+MAX_CONFIGURATION_AGE_RATIO = 0.7
 # After a call that failed.
 RETRY_MS = 250.0
 # A configuration that a peer has in force comes here by itself within this, or
 # else a peer is asked for it.
-OVERDUE_MS = 200.0
-FOLLOWERS_PATIENCE = 2
+CATCH_UP_DELAY_MS = 200.0
+FOLLOWER_DELAY_FACTOR = 2
 # After one that had none which this node can take.
-CATCH_UP_AGAIN_MS = 1000.0
+CATCH_UP_RETRY_MS = 1000.0
 
 _LOG = logbook.Logger("platform")
 
@@ -59,8 +59,8 @@
 class PlatformReader:
     """Reads what the platform says, and says what changed."""
 
-    def __init__(self, operator: rowsource.RowSource,
-                 servers: rowsource.RowSource, view: fleetview.FleetView,
+    def __init__(self, operator: tablereader.TableReader,
+                 servers: tablereader.TableReader, view: fleetview.FleetView,
                  fresh: freshness.Freshness, drain_ms: float,
                  on_table: Callable[[routetable.RouteTable], None]) -> None:
         self._operator = operator
@@ -71,7 +71,7 @@
         self._on_table = on_table
         self._drain_ms = drain_ms
         self._listed: dict[str, model.Runner] = {}
-        view.list_stale_ms = LIST_STALE_PART * drain_ms
+        view.list_stale_ms = LIST_STALE_RATIO * drain_ms
         self._refused: set[tuple[str, bytes]] = set()
         self._lost: set[str] = set()
         self._back_until_ms = float("-inf")
@@ -95,8 +95,9 @@
         while True:
             revoke_ms = self._fresh.revoke_ms
             try:
-                news = await self._operator.read(self._feed_wait_ms(revoke_ms),
-                                                 OLDEST_PART * revoke_ms)
+                news = await self._operator.read(
+                    self._feed_wait_ms(revoke_ms),
+                    MAX_CONFIGURATION_AGE_RATIO * revoke_ms)
             except storecalls.HistoryLost:
                 _LOG.info(logs.line("history-lost", table="op"))
                 continue
@@ -119,15 +120,15 @@
         """Returns for how long news of the configuration is waited for."""
         unconfirmed_ms = self._confirmed_from_ms - clock.now_ms()
         if unconfirmed_ms > 0:
-            return int(min(FEED_PART * revoke_ms, unconfirmed_ms + 1))
-        return int(FEED_PART * revoke_ms)
+            return int(min(FEED_WAIT_RATIO * revoke_ms, unconfirmed_ms + 1))
+        return int(FEED_WAIT_RATIO * revoke_ms)
 
-    def lost_store(self, now_ms: float) -> bool:
+    def has_lost_store(self, now_ms: float) -> bool:
         """Whether the store fails this node, for one table at least."""
-        return (self._operator.lost_store(now_ms) or
-                self._servers.lost_store(now_ms))
+        return (self._operator.has_lost_store(now_ms) or
+                self._servers.has_lost_store(now_ms))
 
-    def misses(self, version: int) -> bool:
+    def should_catch_up(self, version: int) -> bool:
         """Whether a peer's configuration is newer, and nobody asks for it."""
         self._told_version = max(self._told_version, version)
         return version > self._version() and not self._is_catching_up
@@ -142,18 +143,19 @@
         self._is_catching_up = True
         try:
             # A reader that catches up passes it on to its followers.
-            patience = 1 if self._operator.is_direct else FOLLOWERS_PATIENCE
-            await asyncio.sleep(patience * OVERDUE_MS / 1000)
+            patience = (1 if self._operator.is_reading_store else
+                        FOLLOWER_DELAY_FACTOR)
+            await asyncio.sleep(patience * CATCH_UP_DELAY_MS / 1000)
             if self._version() == version:
                 await self._read_ahead(version)
             if self._version() == version:
-                await asyncio.sleep(CATCH_UP_AGAIN_MS / 1000)
+                await asyncio.sleep(CATCH_UP_RETRY_MS / 1000)
         finally:
             self._is_catching_up = False
 
     async def _read_ahead(self, version: int) -> None:
         try:
-            news = await self._operator.read_ahead(version)
+            news = await self._operator.read_newer_from_peer(version)
         except exceptions.StoreError as error:
             _LOG.info(logs.line("catch-up-failed", reason=str(error)))
             return
@@ -165,9 +167,9 @@
     def _version(self) -> int:
         return self.table.configuration.version if self.table else 0
 
-    def _take_rows(self, news: rowsource.News) -> None:
+    def _take_rows(self, news: tablereader.ReadResult) -> None:
         rows = news.rows
-        if news.restored:
+        if news.was_restored:
             self._doubt_configuration(rows)
         if news.whole:
             self._stored = 0
@@ -206,12 +208,13 @@
         """
         self._unread = 0
         self._restored_version = rows.version
-        self._confirmed_from_ms = clock.now_ms() + restoration.REWRITTEN_MS
+        self._confirmed_from_ms = clock.now_ms(
+        ) + restoration.REWRITE_TIMEOUT_MS
         _LOG.warning(
             logs.line("configuration-unconfirmed",
                       era=rows.era,
                       version=self._version(),
-                      for_ms=restoration.REWRITTEN_MS))
+                      for_ms=restoration.REWRITE_TIMEOUT_MS))
 
     def _take_configuration(self, value: bytes) -> bool:
         try:
@@ -247,7 +250,7 @@
             try:
                 news = await self._servers.read(
                     self._list_wait_ms(began_ms),
-                    OLDEST_LIST_PART * self._drain_ms)
+                    MAX_LIST_AGE_RATIO * self._drain_ms)
             except storecalls.HistoryLost:
                 _LOG.info(logs.line("history-lost", table="servers"))
                 continue
@@ -263,7 +266,7 @@
                 # One row that this version can't take must not end the
                 # reading of all later lists.
                 _LOG.exception(logs.line("list-failed"))
-            if self._servers.is_direct and news.rows:
+            if self._servers.is_reading_store and news.rows:
                 # Without news it was listening, and goes on with that.
                 await self._wait(began_ms)
 
@@ -272,22 +275,22 @@
         now_ms = clock.now_ms()
         age_ms = now_ms - self._view.list_as_of_ms
         if self._view.list_stale_ms < age_ms < math.inf:
-            self._back_until_ms = now_ms + BACK_MS
+            self._back_until_ms = now_ms + RECOVERY_MS
 
     def _list_wait_ms(self, now_ms: float) -> int:
         """Returns for how long news is waited for."""
-        most_ms = LIST_WAIT_PART * self._drain_ms
+        most_ms = LIST_WAIT_RATIO * self._drain_ms
         left_ms = most_ms - (now_ms - self._view.list_as_of_ms)
         return int(left_ms if left_ms > 0 else most_ms)
 
-    def read_list_now(self) -> None:
+    def request_list_read(self) -> None:
         """Has the list read sooner than it would be."""
         self._wanted.set()
 
     async def _wait(self, began_ms: float) -> None:
         now_ms = clock.now_ms()
-        interval_ms = (BACK_LIST_MS if now_ms < self._back_until_ms else
-                       LIST_PART * self._drain_ms)
+        interval_ms = (RECOVERY_LIST_INTERVAL_MS if now_ms < self._back_until_ms
+                       else LIST_INTERVAL_RATIO * self._drain_ms)
         left_ms = interval_ms - (now_ms - began_ms)
         try:
             await asyncio.wait_for(self._wanted.wait(),
@@ -297,9 +300,9 @@
         finally:
             self._wanted.clear()
 
-    def _take_list(self, news: rowsource.News) -> None:
+    def _take_list(self, news: tablereader.ReadResult) -> None:
         rows = news.rows
-        if news.restored:
+        if news.was_restored:
             self._begin_restoration(rows)
         if news.whole:
             self._listed.clear()
@@ -314,7 +317,7 @@
                     row.key, row.value, row.version, rows.era)
             except exceptions.BadPeerMessage as error:
                 self._refuse_entry(row, error)
-        changes = self._view.take_list(self._counted(), rows.as_of_ms)
+        changes = self._view.apply_list(self._counted(), rows.as_of_ms)
         for runner_id, change in changes:
             _LOG.info(
                 logs.line("runner",
@@ -327,7 +330,7 @@
         known = {each.id: each for each in self._counted()}
         self._restoration = restoration.Restoration(now_ms, rows.position,
                                                     known)
-        self._back_until_ms = now_ms + BACK_MS
+        self._back_until_ms = now_ms + RECOVERY_MS
         _LOG.warning(
             logs.line("list-restored",
                       era=rows.era,
@@ -336,7 +339,7 @@
 
     def _note_removal(self, runner: str) -> None:
         if self._restoration is not None:
-            self._restoration.removed(runner)
+            self._restoration.record_removal(runner)
 
     def _counted(self) -> Iterable[model.Runner]:
         """Returns the entries of the list that count."""
@@ -345,7 +348,7 @@
         if restored is None or restored.is_over(now_ms):
             self._restoration = None
             return tuple(self._listed.values())
-        return tuple(restored.entries(self._listed, now_ms))
+        return tuple(restored.valid_entries(self._listed, now_ms))
 
     def _refuse_entry(self, row: storecalls.Row,
                       error: exceptions.BadPeerMessage) -> None:
--- a/cardamommill/gateway/rebalancing.py
+++ b/cardamommill/gateway/rebalancing.py
@@ -111,7 +111,7 @@
         unloaded = [
             known for key in move.keys
             for known in groups[key].members.values()
-            if move.served.name not in known.standing.staged
+            if move.served.name not in known.status.staged
         ]
         if unloaded:
             yield from self._load(move, engine, scope, unloaded, now_ms)
@@ -132,13 +132,13 @@
                 move.due_ms[runner] = now_ms + REFUSED_MS
 
     def _load(self, move: _Move, engine: model.Engine, scope: planning.Scope,
-              unloaded: list[fleetview.Known],
+              unloaded: list[fleetview.RunnerRecord],
               now_ms: float) -> Iterator[planning.Action]:
         for known in unloaded:
             runner = known.runner.id
             if now_ms < move.due_ms.get(runner, -math.inf):
                 continue
-            if not known.is_counted:
+            if not known.has_exact_order_count:
                 continue
             if not self._ledger.may_load(engine, scope, now_ms):
                 return
@@ -214,8 +214,8 @@
 
 def _can_move(group: fleetview.Group, place: str) -> bool:
     """Whether a group serves, whole and in one domain of a data centre."""
-    return (group.serves_here and len(group.domains) == 1 and
-            all(each.usable and each.runner.data_centre == place
+    return (group.is_open_and_reachable and len(group.domains) == 1 and
+            all(each.is_usable and each.runner.data_centre == place
                 for each in group.members.values()))
 
 
--- a/cardamommill/gateway/reconciliation.py
+++ b/cardamommill/gateway/reconciliation.py
@@ -146,14 +146,14 @@
 
     def _ask_the_silent(self, service: str, scope: planning.Scope,
                         now_ms: float) -> Iterator[planning.Action]:
-        for known in self._view.of_service(service):
+        for known in self._view.runners_of(service):
             if not known.down_ms or known.is_leaving:
                 continue
             if known.runner.data_centre not in scope.data_centres:
                 continue
             yield from self._ask(known, "did not answer", DOWN_RETRY_MS, now_ms)
 
-    def _ask_anew(self, doubted: list[fleetview.Known],
+    def _ask_anew(self, doubted: list[fleetview.RunnerRecord],
                   now_ms: float) -> Iterator[planning.Action]:
         for known in doubted:
             yield from self._ask(known, "another member is back", BACK_RETRY_MS,
@@ -167,16 +167,16 @@
         refused, and ends the forming of a whole group: three in a row took
         1.3 s after a restart of all nodes.
         """
-        for known in self._view.of_service(service):
-            if known.is_counted or not known.usable:
+        for known in self._view.runners_of(service):
+            if known.has_exact_order_count or not known.is_usable:
                 continue
             if known.runner.data_centre not in scope.data_centres:
                 continue
             yield from self._ask(known, "count of orders unknown",
                                  COUNT_RETRY_MS, now_ms)
 
-    def _ask(self, known: fleetview.Known, reason: str, interval_ms: float,
-             now_ms: float) -> Iterator[planning.Action]:
+    def _ask(self, known: fleetview.RunnerRecord, reason: str,
+             interval_ms: float, now_ms: float) -> Iterator[planning.Action]:
         runner = known.runner.id
         if now_ms - self._asked_ms.get(runner, float("-inf")) >= interval_ms:
             self._asked_ms[runner] = now_ms
@@ -191,14 +191,16 @@
     return first.runner.data_centre in scope.data_centres
 
 
-def _doubted(members: list[fleetview.Known]) -> list[fleetview.Known]:
+def _doubted(
+        members: list[fleetview.RunnerRecord]) -> list[fleetview.RunnerRecord]:
     """Returns members whose silence is older than another's return.
 
     A data centre that was cut off comes back: one member answers, the next was
     asked last while the link was still cut. Ended by that, groups that were
     well were taken apart in the second after the link was mended.
     """
-    back_ms = max((each.back_ms for each in members), default=0.0)
+    recovered_ms = max((each.recovered_ms for each in members), default=0.0)
     return [
-        each for each in members if each.down_ms and each.silent_ms < back_ms
+        each for each in members
+        if each.down_ms and each.unanswered_ms < recovered_ms
     ]
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -47,7 +47,7 @@
 class Target:
     """A runner to try, and its group if it has one."""
 
-    known: fleetview.Known
+    known: fleetview.RunnerRecord
     key: model.GroupKey | None = None
     placed: placing.Placed | None = None
 
--- a/cardamommill/gateway/reporting.py
+++ b/cardamommill/gateway/reporting.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sums:
-    """Sums of loads, by the mark of the group.
+    """Sums of loads, by the short id of the group.
 
     Attributes:
         age_ms: How long ago the oldest of them was told.
@@ -37,14 +37,14 @@
     """Returns the sum of each group."""
     found: Loads = {}
     for part in parts:
-        for mark, load in part.items():
-            found[mark] = found.get(mark, flights.NO_LOAD).plus(load)
+        for short_id, load in part.items():
+            found[short_id] = found.get(short_id, flights.NO_LOAD).plus(load)
     return found
 
 
 def marked(loads: dict[model.GroupKey, flights.GroupLoad]) -> Loads:
     """Returns loads by the marks of their groups."""
-    return {key.mark: load for key, load in loads.items()}
+    return {key.short_id: load for key, load in loads.items()}
 
 
 class FarLoads:
--- a/cardamommill/gateway/restoration.py
+++ b/cardamommill/gateway/restoration.py
@@ -6,9 +6,9 @@
 from cardamommill.gateway import eras, model
 
 # A runner writes its entry again within this, or is to be taken for gone.
-REWRITTEN_MS = 2000.0
+REWRITE_TIMEOUT_MS = 2000.0
 # By then the entry of a runner that no longer writes has lapsed.
-LAPSED_MS = 4800.0
+ENTRY_EXPIRY_MS = 4800.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,19 +25,19 @@
     """
 
     began_ms: float
-    position: eras.Position
+    position: eras.TablePosition
     before: dict[str, model.Runner]
 
     def is_over(self, now_ms: float) -> bool:
         """Whether all that the list says counts again."""
-        return now_ms - self.began_ms >= LAPSED_MS
+        return now_ms - self.began_ms >= ENTRY_EXPIRY_MS
 
-    def removed(self, runner: str) -> None:
+    def record_removal(self, runner: str) -> None:
         """Notes that an entry was removed since the restore."""
         self.before.pop(runner, None)
 
-    def entries(self, listed: dict[str, model.Runner],
-                now_ms: float) -> Iterator[model.Runner]:
+    def valid_entries(self, listed: dict[str, model.Runner],
+                      now_ms: float) -> Iterator[model.Runner]:
         """Yields the entries that count now.
 
         Args:
@@ -54,7 +54,7 @@
                 yield dataclasses.replace(before,
                                           leaving=before.leaving or
                                           entry.leaving)
-        if now_ms - self.began_ms < REWRITTEN_MS:
+        if now_ms - self.began_ms < REWRITE_TIMEOUT_MS:
             for runner, before in self.before.items():
                 if runner not in listed:
                     yield before
--- a/cardamommill/gateway/sources.py
+++ b/cardamommill/gateway/sourceselector.py
@@ -14,17 +14,17 @@
 from cardamommill.gateway import peers
 
 # One may die while the other still reads.
-READERS = 2
+READERS_PER_DATA_CENTRE = 2
 # The store is left after this many failures in a row and asked again so long
 # after the last, later where many have lost it; a peer is left after one.
-STORE_FAILURES = 2
-STORE_AGAIN_MS = 1500.0
-PEER_AGAIN_MS = 3000.0
+STORE_FAILURE_LIMIT = 2
+STORE_RETRY_MS = 1500.0
+PEER_RETRY_MS = 3000.0
 # Whoever lost the store reads for nobody for so long, unless all have lost it.
-LOST_MS = 30_000.0
+STORE_LOST_MS = 30_000.0
 # Of peers that confirmed the configuration within this the nearest is asked, as
 # bytes between data centres are dear; others know no more than this node does.
-YOUNG_MS = 1500.0
+MAX_CONFIRMATION_AGE_MS = 1500.0
 
 # Whether a node lost the store, its name, and where it is.
 _Near = tuple[bool, str, peers.Address]
@@ -52,7 +52,7 @@
     last_ms: float = float("-inf")
 
 
-class Sources:
+class SourceSelector:
     """Keeps who failed of late, for one table."""
 
     def __init__(self, node: str, others: peers.Peers) -> None:
@@ -66,17 +66,17 @@
         failures.count += 1
         failures.last_ms = now_ms
 
-    def worked(self, source: Source) -> None:
+    def succeeded(self, source: Source) -> None:
         """Notes an answer."""
         self._failures.pop(source, None)
 
     @property
-    def store_has_failed(self) -> bool:
+    def has_store_failed(self) -> bool:
         """Whether the store's last answer to this node was none."""
         return STORE in self._failures
 
     @property
-    def store_is_lost(self) -> bool:
+    def is_store_lost(self) -> bool:
         """Whether the store failed more than once in a row.
 
         One lost answer of a feed says little: asked again, the store answers
@@ -84,23 +84,23 @@
         nodes refused all keys for 0.6 s.
         """
         failures = self._failures.get(STORE)
-        return failures is not None and failures.count >= STORE_FAILURES
+        return failures is not None and failures.count >= STORE_FAILURE_LIMIT
 
-    def lost_store(self, now_ms: float) -> bool:
+    def has_lost_store(self, now_ms: float) -> bool:
         """Whether the store failed this node of late, more than once."""
-        return self.store_is_lost and self._failed_lately(
-            STORE, now_ms, LOST_MS)
+        return self.is_store_lost and self._failed_lately(
+            STORE, now_ms, STORE_LOST_MS)
 
     def choose(self, now_ms: float) -> Source:
         """Returns whom to ask now."""
         near = self._near(now_ms)
         reader = self._reader(near, now_ms)
-        if self.store_is_lost and self._failed_lately(
+        if self.is_store_lost and self._failed_lately(
                 STORE, now_ms, self._store_again_ms(near)):
             # A reader that is cut off too has nothing new, but asking it costs
             # nothing: of eighty nodes each would call the store all the while.
             return self._young(now_ms) or reader or STORE
-        if reader is None or self._failed_lately(reader, now_ms, PEER_AGAIN_MS):
+        if reader is None or self._failed_lately(reader, now_ms, PEER_RETRY_MS):
             return STORE
         return reader
 
@@ -122,9 +122,11 @@
         together ask little more than its readers: eighty nodes called the
         store fifty times a second for as long as it was away.
         """
-        if sum(name < self._node for _, name, _ in near) < READERS:
-            return STORE_AGAIN_MS
-        return STORE_AGAIN_MS * max(1.0, (1 + len(near)) / (1 + READERS))
+        if sum(name < self._node
+               for _, name, _ in near) < READERS_PER_DATA_CENTRE:
+            return STORE_RETRY_MS
+        return STORE_RETRY_MS * max(1.0, (1 + len(near)) /
+                                    (1 + READERS_PER_DATA_CENTRE))
 
     def _reader(self, near: list[_Near], now_ms: float) -> Source | None:
         """Returns the reader that this node follows; None for a reader.
@@ -138,14 +140,14 @@
         """
         if self._peers.plans:
             return None
-        own = (self.lost_store(now_ms), self._node)
-        readers = heapq.nsmallest(READERS, near)
-        if len(readers) < READERS or own < readers[-1][:2]:
+        own = (self.has_lost_store(now_ms), self._node)
+        readers = heapq.nsmallest(READERS_PER_DATA_CENTRE, near)
+        if len(readers) < READERS_PER_DATA_CENTRE or own < readers[-1][:2]:
             return None
-        mine = zlib.crc32(self._node.encode()) % READERS
+        mine = zlib.crc32(self._node.encode()) % READERS_PER_DATA_CENTRE
         return Source(readers[mine][-1])
 
-    def ahead(self, version: int, now_ms: float) -> Source | None:
+    def peer_with_newer(self, version: int, now_ms: float) -> Source | None:
         """Returns the nearest peer with a newer configuration in force."""
         return self._nearest(
             ((each, now_ms - each.heard_ms)
@@ -157,9 +159,9 @@
         aged = ((each, each.last.confirmed_age_ms + now_ms - each.heard_ms)
                 for each in self._peers.alive(now_ms)
                 if each.last)
-        return self._nearest(
-            ((each, age_ms) for each, age_ms in aged if age_ms < YOUNG_MS),
-            now_ms)
+        return self._nearest(((each, age_ms)
+                              for each, age_ms in aged
+                              if age_ms < MAX_CONFIRMATION_AGE_MS), now_ms)
 
     def _nearest(self, aged: Iterable[tuple[peers.Peer, float]],
                  now_ms: float) -> Source | None:
@@ -171,6 +173,6 @@
         """
         found = [
             (not each.is_near, age_ms, each.address) for each, age_ms in aged if
-            not self._failed_lately(Source(each.address), now_ms, PEER_AGAIN_MS)
+            not self._failed_lately(Source(each.address), now_ms, PEER_RETRY_MS)
         ]
         return Source(min(found)[-1]) if found else None
--- a/cardamommill/gateway/spares.py
+++ b/cardamommill/gateway/spares.py
@@ -37,7 +37,7 @@
         self._refused_ms[runner] = now_ms
 
     def stage(self, engine: model.Engine, scope: planning.Scope,
-              free: list[fleetview.Known], need: overload.Need,
+              free: list[fleetview.RunnerRecord], need: overload.Need,
               now_ms: float) -> Iterator[planning.Action]:
         """Returns orders to load for the free runners of one domain.
 
@@ -76,9 +76,9 @@
                                expected_seq=known.orders_begun,
                                reason=f"held in the domain: {held}")
 
-    def _idle(self, engine: model.Engine, free: list[fleetview.Known],
-              held: dict[str,
-                         int], need: overload.Need) -> list[fleetview.Known]:
+    def _idle(self, engine: model.Engine, free: list[fleetview.RunnerRecord],
+              held: dict[str, int],
+              need: overload.Need) -> list[fleetview.RunnerRecord]:
         """Returns runners whose host may load something else, blank ones first.
 
         One that holds a model may load a busier one that lacks few to a group,
@@ -105,9 +105,9 @@
         others = [each for each in free if self.warm_model(each) != best]
         return others[:missing] if len(others) >= missing else []
 
-    def _lent(self, served: model.ServedModel, free: list[fleetview.Known],
-              held: dict[str,
-                         int], need: overload.Need) -> list[fleetview.Known]:
+    def _lent(self, served: model.ServedModel,
+              free: list[fleetview.RunnerRecord], held: dict[str, int],
+              need: overload.Need) -> list[fleetview.RunnerRecord]:
         """Returns spares of idler models that would make a group, or a spare.
 
         Each model that has any keeps one.
@@ -143,19 +143,19 @@
 
         return min(engine.models, key=key)
 
-    def warm_model(self, known: fleetview.Known) -> str:
+    def warm_model(self, known: fleetview.RunnerRecord) -> str:
         """Returns the model that a runner is quick to serve, if any."""
         if known.runner.id in self._staging:
             return self._staging[known.runner.id][0]
-        if known.standing.staged:
-            return known.standing.staged[-1]
+        if known.status.staged:
+            return known.status.staged[-1]
         return known.last_model
 
     def forget_staged(self, now_ms: float) -> None:
         """Forgets orders to load that are done, or were lost."""
         for runner_id, (name, until_ms) in list(self._staging.items()):
             known = self._view.known.get(runner_id)
-            done = known is not None and name in known.standing.staged
+            done = known is not None and name in known.status.staged
             if known is None or done or now_ms > until_ms:
                 del self._staging[runner_id]
         for runner_id, at_ms in list(self._refused_ms.items()):
--- a/cardamommill/gateway/standing.py
+++ b/cardamommill/gateway/standing.py
@@ -20,7 +20,7 @@
 
     key: model.GroupKey
     model: str
-    head: fleetview.Known
+    head: fleetview.RunnerRecord
     pace: float
     is_far: bool
     retiring: bool
@@ -86,7 +86,7 @@
 
 def _standing(group: fleetview.Group) -> Standing | None:
     head = group.head
-    if not group.is_open or head is None or not head.usable:
+    if not group.is_open or head is None or not head.is_usable:
         return None
     if any(each.down_ms for each in group.members.values()):
         return None
--- a/cardamommill/gateway/tables.py
+++ b/cardamommill/gateway/tablecopies.py
@@ -9,10 +9,10 @@
 
 # Who follows a copy asks several times a second; of a burst of changes this
 # many are kept for whoever was held up.
-KEPT_CHANGES = 2000
+MAX_KEPT_CHANGES = 2000
 
 
-class Table:
+class TableCopy:
     """One table as of the newest answer about it."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         # In the order in which they came.
         self._waiting: dict[asyncio.Future[None], None] = {}
 
-    def take(self, rows: storecalls.Rows, whole: bool) -> None:
+    def apply_rows(self, rows: storecalls.Rows, whole: bool) -> None:
         """Takes an answer: the whole table, or what changed in it.
 
         One that is older than the copy only says less; it is left. So is what
@@ -38,7 +38,7 @@
         is_new_era = rows.era != self.era
         if is_new_era and not whole:
             return
-        is_first = is_new_era or not self.is_read
+        is_first = is_new_era or not self.is_loaded
         if is_new_era:
             self._begin_era(rows.era)
         if is_first:
@@ -54,14 +54,14 @@
             self._wake()
 
     @property
-    def is_read(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether any answer was taken."""
         return self.as_of_ms > float("-inf")
 
     @property
-    def position(self) -> eras.Position:
+    def position(self) -> eras.TablePosition:
         """How far this copy is known."""
-        return eras.Position(self.era, self.version)
+        return eras.TablePosition(self.era, self.version)
 
     def _begin_era(self, era: int) -> None:
         """Drops all that was said in the last era.
@@ -96,14 +96,14 @@
         else:
             self._rows[row.key] = row
         self._changes.append(row)
-        if len(self._changes) > KEPT_CHANGES:
+        if len(self._changes) > MAX_KEPT_CHANGES:
             self._kept_from = self._changes.popleft().version
 
     def whole(self) -> tuple[storecalls.Row, ...]:
         """Returns all rows."""
         return tuple(self._rows.values())
 
-    def since(self, version: int) -> tuple[storecalls.Row, ...] | None:
+    def changes_since(self, version: int) -> tuple[storecalls.Row, ...] | None:
         """Returns what changed after a version; None where that is forgotten.
 
         A copy that is older than the version has no news.
@@ -115,7 +115,7 @@
         }
         return tuple(newest.values())
 
-    async def changed(self, within_ms: float) -> None:
+    async def wait_for_change(self, within_ms: float) -> None:
         """Returns at the next change, or after a time without any."""
         waiting = asyncio.get_running_loop().create_future()
         self._waiting[waiting] = None
@@ -132,12 +132,12 @@
                 each.set_result(None)
 
 
-class Tables:
+class TableCopies:
     """The tables that a node follows, by name."""
 
     def __init__(self) -> None:
-        self._tables: dict[str, Table] = {}
+        self._tables: dict[str, TableCopy] = {}
 
-    def table(self, name: str) -> Table:
+    def table(self, name: str) -> TableCopy:
         """Returns the copy of a table; empty, of version 0, before any news."""
-        return self._tables.setdefault(name, Table())
+        return self._tables.setdefault(name, TableCopy())
--- a/cardamommill/gateway/rowsource.py
+++ b/cardamommill/gateway/tablereader.py
@@ -1,4 +1,4 @@
-"""Reads a table of the store where `sources` says, and keeps a copy of it."""
+"""Reads a table of the store where `sourceselector` says, keeping a copy."""
 
 import dataclasses
 import math
@@ -9,9 +9,9 @@
 from cardamommill.gateway import (
     clock,
     eras,
-    peerrows,
-    sources,
-    tables,
+    peertables,
+    sourceselector,
+    tablecopies,
     upstream,
 )
 from cardamommill.platform import storecalls
@@ -21,32 +21,32 @@
 PEER_WAIT_MS = 450
 # ... and sooner, but for this long at least, where what was told is nearly too
 # old: a peer that is cut off is left as soon as it is.
-PEER_LEAST_WAIT_MS = 50.0
+PEER_MIN_WAIT_MS = 50.0
 
 _LOG = logbook.Logger("platform")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class ReadResult:
     """What a reading told.
 
     Attributes:
         rows: The whole table, or what changed in it.
         whole: Which of both.
-        restored: Whether the store was restored since the last reading.
+        was_restored: Whether the store was restored since the last reading.
     """
 
     rows: storecalls.Rows
     whole: bool
-    restored: bool
+    was_restored: bool
 
 
-class RowSource:
+class TableReader:
     """One table, whoever tells of it."""
 
     def __init__(self, store: storecalls.Store, pool: upstream.Pool,
-                 choice: sources.Sources, name: str,
-                 copy: tables.Table) -> None:
+                 choice: sourceselector.SourceSelector, name: str,
+                 copy: tablecopies.TableCopy) -> None:
         """Makes it.
 
         Args:
@@ -61,22 +61,22 @@
         self._choice = choice
         self._name = name
         self._copy = copy
-        self._last = sources.STORE
+        self._last = sourceselector.STORE
         # Up to where all is known; None where the whole is needed.
-        self._known: eras.Position | None = None
+        self._known: eras.TablePosition | None = None
         # Of the last reading; None before the first.
         self._era: int | None = None
 
     @property
-    def is_direct(self) -> bool:
+    def is_reading_store(self) -> bool:
         """Whether the store itself was asked last."""
-        return self._last == sources.STORE
+        return self._last == sourceselector.STORE
 
-    def lost_store(self, now_ms: float) -> bool:
+    def has_lost_store(self, now_ms: float) -> bool:
         """Whether the store failed this node of late, more than once."""
-        return self._choice.lost_store(now_ms)
+        return self._choice.has_lost_store(now_ms)
 
-    async def read(self, wait_ms: int, oldest_ms: float) -> News:
+    async def read(self, wait_ms: int, oldest_ms: float) -> ReadResult:
         """Returns the table, and later what changed in it, when something has.
 
         Args:
@@ -90,7 +90,7 @@
         source = self._choice.choose(clock.now_ms())
         self._note(source)
         after = self._known
-        if source.peer is None and self._choice.store_has_failed:
+        if source.peer is None and self._choice.has_store_failed:
             # A feed without news is answered only at its end, and until then
             # no key could be trusted; the whole table comes at once. A peer
             # answers often, and goes on from what is known: it passed whole
@@ -98,30 +98,30 @@
             after = None
         return await self._read_from(source, after, wait_ms, oldest_ms)
 
-    async def _read_from(self, source: sources.Source,
-                         after: eras.Position | None, wait_ms: int,
-                         oldest_ms: float) -> News:
+    async def _read_from(self, source: sourceselector.Source,
+                         after: eras.TablePosition | None, wait_ms: int,
+                         oldest_ms: float) -> ReadResult:
         try:
             rows = await self._ask(source, after, wait_ms, oldest_ms)
         except storecalls.HistoryLost:
             self._known = None
             raise
-        except peerrows.PeerUnready:
+        except peertables.PeerNotReady:
             # It reads on; asked by each of its followers in its place, the
             # store gave the whole list once for each node of a fleet.
             raise
         except exceptions.StoreError:
             self._choice.failed(source, clock.now_ms())
             raise
-        self._choice.worked(source)
+        self._choice.succeeded(source)
         # A peer may tell of an older time than who was asked before it.
         self._known = max(after or rows.position, rows.position)
-        self._copy.take(rows, whole=after is None)
-        restored = self._era not in (None, rows.era)
+        self._copy.apply_rows(rows, whole=after is None)
+        was_restored = self._era not in (None, rows.era)
         self._era = rows.era
-        return News(rows, after is None, restored)
+        return ReadResult(rows, after is None, was_restored)
 
-    async def read_ahead(self, version: int) -> News | None:
+    async def read_newer_from_peer(self, version: int) -> ReadResult | None:
         """Returns at once what a peer tells that has a newer configuration.
 
         Args:
@@ -134,19 +134,21 @@
             HistoryLost: The next reading will be whole.
             StoreError: No answer that can be used.
         """
-        source = self._choice.ahead(version, clock.now_ms())
+        source = self._choice.peer_with_newer(version, clock.now_ms())
         if source is None:
             return None
         return await self._read_from(source, self._known, 0, math.inf)
 
-    async def _ask(self, source: sources.Source, after: eras.Position | None,
-                   wait_ms: int, oldest_ms: float) -> storecalls.Rows:
-        asked: storecalls.Store | peerrows.PeerRows = self._store
+    async def _ask(self, source: sourceselector.Source,
+                   after: eras.TablePosition | None, wait_ms: int,
+                   oldest_ms: float) -> storecalls.Rows:
+        asked: storecalls.Store | peertables.PeerTableClient = self._store
         if source.peer is not None:
-            asked = peerrows.PeerRows(self._pool, source.peer, self._store.eras)
+            asked = peertables.PeerTableClient(self._pool, source.peer,
+                                               self._store.eras)
             left_ms = oldest_ms - (clock.now_ms() - self._copy.as_of_ms)
             wait_ms = int(
-                min(wait_ms, PEER_WAIT_MS, max(PEER_LEAST_WAIT_MS, left_ms)))
+                min(wait_ms, PEER_WAIT_MS, max(PEER_MIN_WAIT_MS, left_ms)))
         if after is not None:
             rows = await asked.feed(self._name, after, wait_ms)
         else:
@@ -155,7 +157,7 @@
             _refuse_old(rows, oldest_ms, source.peer)
         return rows
 
-    def _note(self, source: sources.Source) -> None:
+    def _note(self, source: sourceselector.Source) -> None:
         if self._last == source:
             return
         self._last = source
--- a/cardamommill/platform/entries.py
+++ b/cardamommill/platform/entries.py
@@ -90,7 +90,7 @@
                         leaving=entry.state == words.DRAINING,
                         slots=max(1, entry.slots),
                         row_version=row_version,
-                        standing=_standing(entry, runner),
+                        status=_standing(entry, runner),
                         row_era=row_era)
 
 
@@ -105,7 +105,7 @@
         BadPeerMessage: The body is no report.
     """
     report = _parsed(_WireReport, body, runner)
-    return model.Report(standing=_standing(report, runner),
+    return model.Report(status=_standing(report, runner),
                         orders_begun=report.seq,
                         busy=report.busy,
                         waiting=report.queued,
@@ -124,13 +124,13 @@
             peer=peer) from None
 
 
-def _standing(wire: _WireStanding, peer: str) -> model.Standing:
-    return model.Standing(domain=str(wire.domain),
-                          staged=tuple(
-                              each if isinstance(each, str) else each.name
-                              for each in wire.staged),
-                          models=tuple(each.name for each in wire.models),
-                          membership=_membership(wire.group, peer))
+def _standing(wire: _WireStanding, peer: str) -> model.RunnerStatus:
+    return model.RunnerStatus(domain=str(wire.domain),
+                              staged=tuple(
+                                  each if isinstance(each, str) else each.name
+                                  for each in wire.staged),
+                              models=tuple(each.name for each in wire.models),
+                              membership=_membership(wire.group, peer))
 
 
 def _membership(group: _WireGroup | None, peer: str) -> model.Membership | None:
--- a/cardamommill/platform/storecalls.py
+++ b/cardamommill/platform/storecalls.py
@@ -54,9 +54,9 @@
     era: int = 0
 
     @property
-    def position(self) -> eras.Position:
+    def position(self) -> eras.TablePosition:
         """How far a table is known by this answer."""
-        return eras.Position(self.era, self.version)
+        return eras.TablePosition(self.era, self.version)
 
 
 class HistoryLost(exceptions.StoreError):
@@ -73,7 +73,7 @@
     def __init__(self, pool: upstream.Pool, address: upstream.Address) -> None:
         self._pool = pool
         self._address = address
-        self.eras = eras.Eras()
+        self.eras = eras.EraTracker()
         self._refused_era: str | None = None
         self._peer = f"{address[0]}:{address[1]}"
         # This node's clock less the store's, never more than it is: a call
@@ -111,7 +111,7 @@
                 return dataclasses.replace(first, rows=tuple(found))
             after = rows.rows[-1].key + "\0"
 
-    async def feed(self, table: str, after: eras.Position,
+    async def feed(self, table: str, after: eras.TablePosition,
                    wait_ms: int) -> Rows:
         """Returns what changed in a table, when something has.
 
@@ -125,7 +125,7 @@
         asked = asyncio.ensure_future(
             self._get(words.ROWS_FEED_PATH, query, timeout_ms))
         restored = asyncio.ensure_future(
-            self.eras.newer_than(after.era, timeout_ms))
+            self.eras.wait_for_newer(after.era, timeout_ms))
         try:
             await asyncio.wait((asked, restored),
                                return_when=asyncio.FIRST_COMPLETED)
@@ -210,7 +210,7 @@
                                         step=step,
                                         peer=self._peer)
         self._refused_era = None
-        if self.eras.see(era):
+        if self.eras.observe(era):
             _LOG.warning(
                 logs.line("store-restored", era=era, before=newest, step=step))
 
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -6,10 +6,10 @@
 from cardamommill.gateway import (
     clock,
     entrysettings,
-    peerrows,
+    peertables,
     platformreader,
-    rowsource,
-    sources,
+    sourceselector,
+    tablereader,
 )
 from cardamommill.platform import storecalls, words
 from tests.experiment import test_world
@@ -44,7 +44,8 @@
     assert many.share("in-aim") > 0.97
     # What each does at its start, and a reader that plans besides.
     assert many.store_calls < 1.6 * few.store_calls
-    monkeypatch.setattr(sources.Sources, "_reader", lambda *_: None)
+    monkeypatch.setattr(sourceselector.SourceSelector, "_reader",
+                        lambda *_: None)
     assert play(nodes=8).store_calls > 2.2 * few.store_calls
 
 
@@ -132,8 +133,8 @@
         table.as_of_ms = clock.now_ms()
         answer(reply, table, rows, asked_ms)
 
-    answer = peerrows._answer
-    monkeypatch.setattr(peerrows, "_answer", answer_as_if_new)
+    answer = peertables._answer
+    monkeypatch.setattr(peertables, "_answer", answer_as_if_new)
     outcome = play(*troubles, length_s=11.0)
     assert {each.rule for each in outcome.violations} == {"CONFIG"}
 
@@ -145,13 +146,13 @@
     whole tables sent from the others for as long as the cut lasted.
     """
     whole = []
-    table = peerrows.PeerRows.table
+    table = peertables.PeerTableClient.table
 
     async def counted(self, name):
         whole.append(clock.now_ms())
         return await table(self, name)
 
-    monkeypatch.setattr(peerrows.PeerRows, "table", counted)
+    monkeypatch.setattr(peertables.PeerTableClient, "table", counted)
     outcome = play(FOUR_CUT, length_s=10.0)
     assert not outcome.violations
     # What nodes that start later than their reader have it send.
@@ -214,13 +215,14 @@
 def ahead_readings(monkeypatch):
     """Returns which nodes ask for a newer configuration, as they do."""
     asked = []
-    read_ahead = rowsource.RowSource.read_ahead
+    read_newer_from_peer = tablereader.TableReader.read_newer_from_peer
 
     async def counted(self, version):
         asked.append(self._choice._node)
-        return await read_ahead(self, version)
+        return await read_newer_from_peer(self, version)
 
-    monkeypatch.setattr(rowsource.RowSource, "read_ahead", counted)
+    monkeypatch.setattr(tablereader.TableReader, "read_newer_from_peer",
+                        counted)
     return asked
 
 
@@ -312,13 +314,13 @@
     these went to the store each for itself, again and again, in calm times.
     """
     left = []
-    failed = sources.Sources.failed
+    failed = sourceselector.SourceSelector.failed
 
     def noted(self, source, now_ms):
         failed(self, source, now_ms)
         left.append(source)
 
-    monkeypatch.setattr(sources.Sources, "failed", noted)
+    monkeypatch.setattr(sourceselector.SourceSelector, "failed", noted)
     outcome = play(nodes=12, length_s=6.0)
     assert not outcome.violations
     assert not left
--- a/tests/gateway/builders.py
+++ b/tests/gateway/builders.py
@@ -51,20 +51,18 @@
                         leaving=leaving,
                         slots=13,
                         row_version=row_version,
-                        standing=model.Standing(domain=domain,
-                                                staged=staged,
-                                                models=(served,) if served else
-                                                (),
-                                                membership=membership))
+                        status=model.RunnerStatus(
+                            domain=domain,
+                            staged=staged,
+                            models=(served,) if served else (),
+                            membership=membership))
 
 
 def report(begun: int,
            membership: model.Membership | None = None,
            served: str = "") -> model.Report:
-    return model.Report(standing=model.Standing(domain="d0",
-                                                models=(served,) if served else
-                                                (),
-                                                membership=membership),
+    return model.Report(status=model.RunnerStatus(
+        domain="d0", models=(served,) if served else (), membership=membership),
                         orders_begun=begun,
                         busy=False,
                         waiting=0,
@@ -74,5 +72,5 @@
 
 def view(*runners: model.Runner, at_ms: float = 1000.0) -> fleetview.FleetView:
     found = fleetview.FleetView()
-    found.take_list(runners, at_ms)
+    found.apply_list(runners, at_ms)
     return found
--- a/tests/gateway/planners.py
+++ b/tests/gateway/planners.py
@@ -21,7 +21,7 @@
     def __init__(self, runners, scope=SCOPE):
         self.view = builders.view(*runners)
         for known in self.view.known.values():
-            known.is_counted = True
+            known.has_exact_order_count = True
         self.planner = planner.Planner(self.view, "n")
         self.scope = scope
         self.service = builders.service()
@@ -43,16 +43,16 @@
         elif order.operation is orders.Operation.CLOSE:
             place = builders.member(order.group, 0, STATE.CLOSING)
         self.planner.sent(order.runner)
-        self.view.take_order(order.runner, known.orders_begun + 1, place,
-                             self.now_ms)
+        self.view.record_order(order.runner, known.orders_begun + 1, place,
+                               self.now_ms)
         self.planner.accepted(order, self.now_ms)
 
     def become(self, order, state):
         known = self.view.known[order.runner]
         place = builders.member(order.group, order.members.index(order.runner),
                                 state)
-        self.view.take_order(order.runner, known.orders_begun, place,
-                             self.now_ms)
+        self.view.record_order(order.runner, known.orders_begun, place,
+                               self.now_ms)
 
 
 def warm(count, name="large", start=1, domain="d0"):
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -48,7 +48,7 @@
         del reason
         self.asked.append(runner)
         if runner in self.dead:
-            self._view.take_silence(runner, clock.now_ms())
+            self._view.record_no_answer(runner, clock.now_ms())
         return runner not in self.dead
 
 
@@ -278,7 +278,7 @@
 
     def script(bench):
         for number in range(4, 16):
-            bench.view.take_silence(f"i-{number}", clock.now_ms() - 3000)
+            bench.view.record_no_answer(f"i-{number}", clock.now_ms() - 3000)
         bench.alarms.ask_again(clock.now_ms(), "b")
         bench.alarms.ask_again(clock.now_ms(), "b")
 
@@ -292,7 +292,7 @@
 
     def script(bench):
         now_ms = clock.now_ms()
-        bench.view.take_silence("i-0", now_ms)
+        bench.view.record_no_answer("i-0", now_ms)
         bench.alarms.ask_again(now_ms + 1000)
         assert not bench.keeper.asked
         bench.alarms.ask_again(now_ms + 3100)
--- a/tests/gateway/test_backpressure.py
+++ b/tests/gateway/test_backpressure.py
@@ -70,17 +70,17 @@
 def test_runner_that_says_that_it_leaves_is_not_used():
     node = Node()
     node.answer(200, Server_Leaving="0")
-    assert node.view.known[RUNNER.id].usable
+    assert node.view.known[RUNNER.id].is_usable
     node.answer(503, Server_Leaving="1")
-    assert not node.view.known[RUNNER.id].usable
+    assert not node.view.known[RUNNER.id].is_usable
 
 
 def test_list_does_not_take_back_that_a_runner_leaves():
     """A runner that is cut off from the store is listed as ready to the end."""
     node = Node()
     node.answer(200, Server_Leaving="1")
-    node.view.take_list([builders.runner(1, row_version=9)],
-                        node.view.list_as_of_ms + 500)
+    node.view.apply_list([builders.runner(1, row_version=9)],
+                         node.view.list_as_of_ms + 500)
     known = node.view.known[RUNNER.id]
     assert known.is_leaving and known.leaving_ms == node.now_ms
 
@@ -89,8 +89,8 @@
     """Runners start again at the address, under another id."""
     node = Node()
     node.answer(200, Server_Leaving="1")
-    node.view.take_list([builders.runner(2)], node.view.list_as_of_ms + 500)
-    assert node.view.known["i-2"].usable
+    node.view.apply_list([builders.runner(2)], node.view.list_as_of_ms + 500)
+    assert node.view.known["i-2"].is_usable
 
 
 def test_header_that_cannot_be_read_changes_nothing():
--- a/tests/gateway/test_consolidation.py
+++ b/tests/gateway/test_consolidation.py
@@ -34,7 +34,8 @@
     """Has a head finish its work after a close."""
     known = bench.view.known[close.runner]
     place = builders.member(close.group, 0, STATE.READY)
-    bench.view.take_order(close.runner, known.orders_begun, place, bench.now_ms)
+    bench.view.record_order(close.runner, known.orders_begun, place,
+                            bench.now_ms)
 
 
 def test_two_slow_groups_become_two_quick_ones():
@@ -58,7 +59,7 @@
     joins = ordered(bench.step(), orders.Operation.JOIN)
     domains = {}
     for each in joins:
-        domain = bench.view.known[each.runner].standing.domain
+        domain = bench.view.known[each.runner].status.domain
         domains.setdefault(each.group, set()).add(domain)
     assert len(joins) == 8
     assert sorted(map(sorted, domains.values())) == [["d0"], ["d1"]]
--- a/tests/gateway/test_fleetview.py
+++ b/tests/gateway/test_fleetview.py
@@ -17,8 +17,8 @@
     # it believed because it was read later, the runner would be joined to a
     # second group while the first one is open.
     view = builders.view(builders.runner(1, row_version=5), at_ms=1000)
-    view.take_report("i-1", builders.report(2, OPEN, "large"), 9000, 200)
-    view.take_list([builders.runner(1, row_version=5)], 12_000)
+    view.apply_report("i-1", builders.report(2, OPEN, "large"), 9000, 200)
+    view.apply_list([builders.runner(1, row_version=5)], 12_000)
     assert view.known["i-1"].membership == OPEN
     assert view.known["i-1"].orders_begun == 2
 
@@ -28,16 +28,16 @@
     # that was read just after still has the row from before.
     broken = builders.member(KEY, 0, model.MemberState.BROKEN)
     view = builders.view(builders.runner(1, 5, membership=OPEN), at_ms=1000)
-    view.take_order("i-1", 3, None, 1500)
-    view.take_list([builders.runner(1, 6, membership=broken)], 1600)
+    view.record_order("i-1", 3, None, 1500)
+    view.apply_list([builders.runner(1, 6, membership=broken)], 1600)
     assert view.known["i-1"].membership is None
 
 
 def test_row_that_changed_after_the_order_is_believed():
     view = builders.view(builders.runner(1, 5), at_ms=1000)
-    view.take_order("i-1", 1, JOINING, 1500)
-    view.take_list([builders.runner(1, 5)], 1600)
-    view.take_list([builders.runner(1, 6)], 2400)
+    view.record_order("i-1", 1, JOINING, 1500)
+    view.apply_list([builders.runner(1, 5)], 1600)
+    view.apply_list([builders.runner(1, 6)], 2400)
     assert view.known["i-1"].membership is None
 
 
@@ -49,26 +49,26 @@
     the spare was taken for one that loads for the rest of the day.
     """
     view = builders.view(builders.runner(1, 5), at_ms=1000)
-    view.take_order("i-1", 1, None, 1500)
-    view.take_list([builders.runner(1, 6, staged=("large",))], 2800)
-    view.take_list([builders.runner(1, 6, staged=("large",))], 4000)
-    assert view.known["i-1"].standing.staged == ("large",)
+    view.record_order("i-1", 1, None, 1500)
+    view.apply_list([builders.runner(1, 6, staged=("large",))], 2800)
+    view.apply_list([builders.runner(1, 6, staged=("large",))], 4000)
+    assert view.known["i-1"].status.staged == ("large",)
     assert view.known["i-1"].membership is None
 
 
 def test_same_group_goes_on_by_the_list():
     view = builders.view(builders.runner(1, 5), at_ms=1000)
-    view.take_order("i-1", 1, JOINING, 1500)
-    view.take_list([builders.runner(1, 6, membership=READY)], 1510)
+    view.record_order("i-1", 1, JOINING, 1500)
+    view.apply_list([builders.runner(1, 6, membership=READY)], 1510)
     assert view.known["i-1"].membership == READY
 
 
 def test_report_from_before_an_order_tells_only_that_the_runner_lives():
     # A report tells what was true 200 ms ago.
     view = builders.view(builders.runner(1, 5), at_ms=1000)
-    view.take_silence("i-1", 1400)
-    view.take_order("i-1", 1, JOINING, 1500)
-    view.take_report("i-1", builders.report(0), 1600, 200)
+    view.record_no_answer("i-1", 1400)
+    view.record_order("i-1", 1, JOINING, 1500)
+    view.apply_report("i-1", builders.report(0), 1600, 200)
     known = view.known["i-1"]
     assert known.down_ms == 0
     assert known.membership == JOINING
@@ -77,23 +77,23 @@
 
 def test_older_list_is_left():
     view = builders.view(builders.runner(1), at_ms=1000)
-    assert not view.take_list([], 900)
+    assert not view.apply_list([], 900)
     assert view.known["i-1"].listed
 
 
 def test_runner_that_left_the_list_is_remembered_for_a_while():
     view = builders.view(builders.runner(1), at_ms=1000)
-    assert view.take_list([], 2000) == [("i-1", "left the list")]
-    assert not view.known["i-1"].usable
-    view.take_list([], 50_000)
+    assert view.apply_list([], 2000) == [("i-1", "left the list")]
+    assert not view.known["i-1"].is_usable
+    view.apply_list([], 50_000)
     assert "i-1" not in view.known
 
 
 def test_word_of_a_planner_opens_a_group_once():
     view = builders.view(builders.runner(1, 5, membership=READY,
                                          served="large"))
-    assert view.take_open("i-1", KEY, "large")
-    assert not view.take_open("i-1", KEY, "large")
+    assert view.record_open_group("i-1", KEY, "large")
+    assert not view.record_open_group("i-1", KEY, "large")
     group = view.groups("llm")[KEY]
     assert group.is_open and group.model == "large"
 
@@ -102,7 +102,7 @@
     later = model.GroupKey("h", 9)
     place = builders.member(later, 0, model.MemberState.JOINING)
     view = builders.view(builders.runner(1, 5, membership=place))
-    assert not view.take_open("i-1", KEY, "large")
+    assert not view.record_open_group("i-1", KEY, "large")
 
 
 def row(state, version):
@@ -119,14 +119,14 @@
     """
     view = builders.view(row(STATE.OPEN, 1), at_ms=1000)
     closing = builders.member(KEY, 0, STATE.CLOSING)
-    view.take_order("i-1", 3, closing, 1500)
-    view.take_list([row(STATE.READY, 2)], 2000)
+    view.record_order("i-1", 3, closing, 1500)
+    view.apply_list([row(STATE.READY, 2)], 2000)
     assert view.known["i-1"].membership.state is STATE.READY
 
 
 def test_row_of_before_a_group_was_opened_does_not_end_its_close():
     view = builders.view(row(STATE.JOINING, 1), at_ms=1000)
     closing = builders.member(KEY, 0, STATE.CLOSING)
-    view.take_order("i-1", 3, closing, 1500)
-    view.take_list([row(STATE.READY, 2)], 2000)
+    view.record_order("i-1", 3, closing, 1500)
+    view.apply_list([row(STATE.READY, 2)], 2000)
     assert view.known["i-1"].membership.state is STATE.CLOSING
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -65,7 +65,7 @@
         one.step(100)
     late = [builders.runner(20 + each, row_version=2) for each in range(2)]
     runners = [each.runner for each in one.view.known.values()]
-    one.view.take_list(runners + late, one.now_ms)
+    one.view.apply_list(runners + late, one.now_ms)
     assert loaded(one.step()) == ["large", "large"]
 
 
@@ -122,7 +122,7 @@
         one.step(100)
     known = [each.runner for each in one.view.known.values()]
     blank = [builders.runner(20 + each, row_version=2) for each in range(8)]
-    one.view.take_list(known + blank, one.now_ms)
+    one.view.apply_list(known + blank, one.now_ms)
     staged = []
     for _ in range(10):
         staged += loaded(one.step(600))
@@ -161,7 +161,7 @@
         one.step(100)
     blank = [builders.runner(20 + each, row_version=2) for each in range(4)]
     known = [each.runner for each in one.view.known.values()]
-    one.view.take_list(known + blank, one.now_ms)
+    one.view.apply_list(known + blank, one.now_ms)
     assert loaded(one.step()) == ["large"] * 4
 
 
@@ -182,7 +182,7 @@
         one.step(100)
     before = planners.ordered(one.step(), orders.Operation.JOIN)
     for each in away:
-        one.view.take_silence(each.id, one.now_ms)
+        one.view.record_no_answer(each.id, one.now_ms)
     made = [
         each for _ in range(20)
         for each in planners.ordered(one.step(100), orders.Operation.JOIN)
--- a/tests/gateway/test_peermessage.py
+++ b/tests/gateway/test_peermessage.py
@@ -45,7 +45,7 @@
         tries=(reliability.Tries("i-2", 3, ((2**32 - 1, 40.0), (0, 7.0))),),
         plans_ms={"a": 10.0},
         sums=reporting.Sums(120.0, {
-            key.mark: load for key, load in in_flight.items()
+            key.short_id: load for key, load in in_flight.items()
         }),
         store_lost=stopping)
     assert peermessage.decode(encoded(sent), "peer") == sent
@@ -112,7 +112,9 @@
         reliability.Tries(f"i-{number:010x}", 30, ((2**32 - 1, 2900.0),) *
                           reliability.MAX_TOLD_FAILURES)
         for number in range(reliability.MAX_TOLD_RUNNERS))
-    sums = reporting.Sums(40.0, {key.mark: load for key, load in many.items()})
+    sums = reporting.Sums(40.0, {
+        key.short_id: load for key, load in many.items()
+    })
     sent = test_peers.message("n",
                               "a",
                               in_flight=many,
--- a/tests/gateway/test_peerrows.py
+++ b/tests/gateway/test_peertables.py
@@ -12,8 +12,8 @@
     clock,
     eras,
     fetching,
-    peerrows,
-    tables,
+    peertables,
+    tablecopies,
     upstream,
 )
 from cardamommill.platform import storecalls
@@ -30,13 +30,13 @@
     """Plays a script on a peer whose copy of table t was read a while ago."""
 
     async def main():
-        copies = tables.Tables()
+        copies = tablecopies.TableCopies()
         loop = asyncio.get_running_loop()
         server = callers.CallerServer(
-            peerrows.RowServer(copies, loop.create_task).on_request,
+            peertables.PeerTableServer(copies, loop.create_task).on_request,
             lambda status: None)
         await server.listen(*ADDRESS)
-        copies.table("t").take(
+        copies.table("t").apply_rows(
             storecalls.Rows((row("a", 3),), 5,
                             clock.now_ms() - AGE_MS), True)
         with upstream.Pool() as pool:
@@ -49,7 +49,8 @@
 def test_what_is_passed_on_is_dated_no_later_than_it_was_true():
 
     async def script(table, pool):
-        rows = await peerrows.PeerRows(pool, ADDRESS, eras.Eras()).table("t")
+        rows = await peertables.PeerTableClient(pool, ADDRESS,
+                                                eras.EraTracker()).table("t")
         return rows, table.as_of_ms
 
     rows, as_of_ms = served(script)
@@ -61,11 +62,12 @@
 def test_follower_hears_of_a_change_at_once():
 
     async def script(table, pool):
-        peer = peerrows.PeerRows(pool, ADDRESS, eras.Eras())
+        peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
         asking = asyncio.get_running_loop().create_task(
-            peer.feed("t", eras.Position(0, 5), wait_ms=1000))
+            peer.feed("t", eras.TablePosition(0, 5), wait_ms=1000))
         await asyncio.sleep(0.2)
-        table.take(storecalls.Rows((row("b", 6),), 6, clock.now_ms()), False)
+        table.apply_rows(storecalls.Rows((row("b", 6),), 6, clock.now_ms()),
+                         False)
         began_ms = clock.now_ms()
         rows = await asking
         return rows, clock.now_ms() - began_ms
@@ -78,10 +80,10 @@
 def test_answer_without_news_comes_after_the_wait_and_is_as_old_as_the_copy():
 
     async def script(table, pool):
-        rows = await peerrows.PeerRows(pool, ADDRESS,
-                                       eras.Eras()).feed("t",
-                                                         eras.Position(0, 5),
-                                                         wait_ms=400)
+        rows = await peertables.PeerTableClient(
+            pool, ADDRESS, eras.EraTracker()).feed("t",
+                                                   eras.TablePosition(0, 5),
+                                                   wait_ms=400)
         return rows, clock.now_ms() - rows.as_of_ms
 
     rows, age_ms = served(script)
@@ -97,11 +99,11 @@
     """
 
     async def script(table, pool):
-        peer = peerrows.PeerRows(pool, ADDRESS, eras.Eras())
+        peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
         asking = asyncio.get_running_loop().create_task(
-            peer.feed("t", eras.Position(0, 5), wait_ms=400))
+            peer.feed("t", eras.TablePosition(0, 5), wait_ms=400))
         await asyncio.sleep(0.3)
-        table.take(storecalls.Rows((), 5, clock.now_ms()), False)
+        table.apply_rows(storecalls.Rows((), 5, clock.now_ms()), False)
         rows = await asking
         return rows.as_of_ms, table.as_of_ms
 
@@ -113,10 +115,8 @@
 
     async def script(table, pool):
         del table
-        await peerrows.PeerRows(pool, ADDRESS,
-                                eras.Eras()).feed("t",
-                                                  eras.Position(0, 2),
-                                                  wait_ms=100)
+        await peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker()).feed(
+            "t", eras.TablePosition(0, 2), wait_ms=100)
 
     with pytest.raises(storecalls.HistoryLost):
         served(script)
@@ -127,7 +127,8 @@
 
     async def script(table, pool):
         del table
-        await peerrows.PeerRows(pool, ADDRESS, eras.Eras()).table("other")
+        await peertables.PeerTableClient(pool, ADDRESS,
+                                         eras.EraTracker()).table("other")
 
     with pytest.raises(exceptions.StoreError, match="503"):
         served(script)
@@ -150,22 +151,24 @@
 
     async def script(table, pool):
         del table
-        silent = peerrows.PeerRows(pool, ("10.1.0.9", 7340), eras.Eras())
+        silent = peertables.PeerTableClient(pool, ("10.1.0.9", 7340),
+                                            eras.EraTracker())
         began_ms = clock.now_ms()
         with pytest.raises(exceptions.StoreError):
-            await silent.feed("t", eras.Position(0, 5), wait_ms=450)
+            await silent.feed("t", eras.TablePosition(0, 5), wait_ms=450)
         return clock.now_ms() - began_ms
 
-    assert served(script) < 450 + peerrows.ANSWER_MS + 20
+    assert served(script) < 450 + peertables.ANSWER_TIMEOUT_MS + 20
 
 
 def test_follower_reads_whole_once_its_peer_has_a_newer_era():
 
     async def script(table, pool):
-        known = eras.Eras()
-        peer = peerrows.PeerRows(pool, ADDRESS, known)
+        known = eras.EraTracker()
+        peer = peertables.PeerTableClient(pool, ADDRESS, known)
         before = await peer.table("t")
-        table.take(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1), True)
+        table.apply_rows(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1),
+                         True)
         with pytest.raises(storecalls.HistoryLost):
             await peer.feed("t", before.position, wait_ms=100)
         after = await peer.table("t")
@@ -179,19 +182,20 @@
 
     async def script(table, pool):
         del table
-        known = eras.Eras()
-        known.see(0)
-        known.see(1)
-        await peerrows.PeerRows(pool, ADDRESS, known).table("t")
+        known = eras.EraTracker()
+        known.observe(0)
+        known.observe(1)
+        await peertables.PeerTableClient(pool, ADDRESS, known).table("t")
 
-    with pytest.raises(peerrows.PeerUnready):
+    with pytest.raises(peertables.PeerNotReady):
         served(script)
 
 
 def test_follower_of_the_former_format_is_answered_without_an_era():
 
     async def script(table, pool):
-        table.take(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1), True)
+        table.apply_rows(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1),
+                         True)
         request = fetching.request_bytes("GET", "/rows?table=t",
                                          [("Host", "peer")])
         answer = await fetching.fetch(pool, ADDRESS, request, 200)
--- a/tests/gateway/test_planner.py
+++ b/tests/gateway/test_planner.py
@@ -179,7 +179,7 @@
         each.runner.id: each.orders_begun for each in bench.view.known.values()
     }
     bench.step(3000)
-    bench.view.take_silence("i-4", bench.now_ms)
+    bench.view.record_no_answer("i-4", bench.now_ms)
     actions = bench.step(3000)
     leaves = planners.ordered(actions, orders.Operation.LEAVE)
     assert sorted(each.runner for each in leaves) == ["i-1", "i-2", "i-3"]
--- a/tests/gateway/test_planner_machine.py
+++ b/tests/gateway/test_planner_machine.py
@@ -78,7 +78,7 @@
                             staged=("small",))
             for each in self.runners.values()
         ]
-        self.views[which].take_list(rows, self.now_ms)
+        self.views[which].apply_list(rows, self.now_ms)
 
     @stateful.rule()
     def store_fails_or_returns(self):
@@ -129,7 +129,7 @@
         status = self.carry_out(order) if fate in ("done", "unanswered") else 0
         view = self.views[which]
         if fate != "done" or status not in (200, 202):
-            view.take_refusal(order.runner, self.now_ms)
+            view.record_order_refusal(order.runner, self.now_ms)
             self.planners[which].refused(order,
                                          "no",
                                          self.now_ms,
@@ -146,9 +146,9 @@
             place = builders.member(order.group,
                                     order.members.index(order.runner),
                                     STATE.JOINING)
-        view.take_order(order.runner,
-                        known.orders_begun + (status == 202 or left),
-                        None if left else place, self.now_ms)
+        view.record_order(order.runner,
+                          known.orders_begun + (status == 202 or left),
+                          None if left else place, self.now_ms)
         self.planners[which].accepted(order, self.now_ms)
 
     @stateful.rule()
@@ -174,11 +174,11 @@
     @stateful.rule(which=strategies.integers(0, 1),
                    number=strategies.integers(0, COUNT - 1))
     def false_alarm(self, which, number):
-        self.views[which].take_silence(f"i-{number}", self.now_ms)
+        self.views[which].record_no_answer(f"i-{number}", self.now_ms)
 
     def report(self, which, runner_id):
         runner = self.runners[runner_id]
-        self.views[which].take_report(
+        self.views[which].apply_report(
             runner_id, builders.report(runner.begun, runner.place,
                                        runner.served), self.now_ms, 200.0)
 
--- a/tests/gateway/test_platformreader.py
+++ b/tests/gateway/test_platformreader.py
@@ -10,9 +10,9 @@
     peers,
     platformreader,
     restoration,
-    rowsource,
-    sources,
-    tables,
+    sourceselector,
+    tablecopies,
+    tablereader,
     upstream,
 )
 from cardamommill.platform import storecalls, words
@@ -45,11 +45,10 @@
         self.view = fleetview.FleetView()
         others = peers.Peers("n1", "a", 1, ("10.1.0.1", 7000), clock.now_ms())
         store = storecalls.Store(pool, modelstore.ADDRESS)
-        operator, servers = (rowsource.RowSource(store, pool,
-                                                 sources.Sources("n1", others),
-                                                 name, tables.Table())
-                             for name in (words.OPERATOR_TABLE,
-                                          words.SERVERS_TABLE))
+        operator, servers = (tablereader.TableReader(
+            store, pool, sourceselector.SourceSelector("n1", others), name,
+            tablecopies.TableCopy()) for name in (words.OPERATOR_TABLE,
+                                                  words.SERVERS_TABLE))
         self.fresh = freshness.Freshness(5000.0)
         self.reader = platformreader.PlatformReader(operator, servers,
                                                     self.view, self.fresh,
@@ -222,7 +221,7 @@
     async def script(one):
         confirmed_ms = one.fresh.confirmed_ms
         one.store.restore(0)
-        await asyncio.sleep(restoration.REWRITTEN_MS / 1000 - 0.1)
+        await asyncio.sleep(restoration.REWRITE_TIMEOUT_MS / 1000 - 0.1)
         assert one.fresh.confirmed_ms < confirmed_ms + 600
         one.store.put(*CONFIG, configuration(5))
         await asyncio.sleep(0.1)
@@ -249,7 +248,7 @@
         one.put("i-3")
         await asyncio.sleep(KNOWN_S)
         one.store.restore(10_000)
-        await asyncio.sleep(restoration.REWRITTEN_MS / 1000 - 0.3)
+        await asyncio.sleep(restoration.REWRITE_TIMEOUT_MS / 1000 - 0.3)
         assert one.view.known["i-3"].listed
         one.put("i-3", slots=7)
         one.put("i-1")
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -57,8 +57,8 @@
         for order in ordered(made.step(500.0), orders.Operation.STAGE):
             made.accept(order)
             known = made.view.known[order.runner]
-            known.standing = dataclasses.replace(known.standing,
-                                                 staged=(order.model,))
+            known.status = dataclasses.replace(known.status,
+                                               staged=(order.model,))
             told.append(order.runner)
         if ordered_closes(made):
             break
@@ -82,9 +82,9 @@
     assert [each.group for each in made.closes] == [LARGES[1]]
     made.accept(made.closes[0])
     known = made.view.known[made.closes[0].runner]
-    made.view.take_order(known.runner.id, known.orders_begun,
-                         builders.member(LARGES[1], 0, STATE.READY),
-                         made.now_ms)
+    made.view.record_order(known.runner.id, known.orders_begun,
+                           builders.member(LARGES[1], 0, STATE.READY),
+                           made.now_ms)
     actions = made.step()
     leaves = ordered(actions, orders.Operation.LEAVE)
     assert len(leaves) == 4
@@ -137,7 +137,7 @@
     made = bench(large=1, small=12)
     for order in ordered(made.step(500.0), orders.Operation.STAGE):
         made.accept(order)
-    made.view.take_silence("i-12", made.now_ms)
+    made.view.record_no_answer("i-12", made.now_ms)
     made.step(100.0)
     made.now_ms += 100.0
     assert not ordered_closes(made)
--- a/tests/gateway/test_reconciliation.py
+++ b/tests/gateway/test_reconciliation.py
@@ -12,7 +12,7 @@
     # would be in two.
     bench = planners.Bench(planners.warm(5))
     joins = planners.standing(bench)
-    bench.view.take_silence(joins[2].runner, bench.now_ms)
+    bench.view.record_no_answer(joins[2].runner, bench.now_ms)
     leaves = planners.ordered(bench.step(), orders.Operation.LEAVE)
     assert {each.runner for each in leaves
            } == {each.runner for each in joins} - {joins[2].runner}
@@ -31,7 +31,7 @@
     joins = planners.standing(bench)
     gone = joins[2].runner
     left = [each for each in planners.warm(5) if each.id != gone]
-    bench.view.take_list(left, bench.now_ms + 10)
+    bench.view.apply_list(left, bench.now_ms + 10)
     actions = bench.step()
     assert not planners.ordered(actions, orders.Operation.LEAVE)
     assert planning.Probe(gone, "left the list") in actions
@@ -46,7 +46,7 @@
                         leaving=each.id == joins[1].runner,
                         staged=("large",)) for each in planners.warm(5)
     ]
-    bench.view.take_list(leaving, bench.now_ms + 10)
+    bench.view.apply_list(leaving, bench.now_ms + 10)
     bench.scope = planning.Scope(frozenset({"a"}), 1, False,
                                  {joins[0].group: flights.GroupLoad(3)})
     assert not planners.ordered(bench.step(1500), orders.Operation.LEAVE)
@@ -96,7 +96,7 @@
     """
     bench = planners.Bench(planners.warm(4))
     for known in bench.view.known.values():
-        known.is_counted = False
+        known.has_exact_order_count = False
     actions = bench.step()
     assert not planners.ordered(actions, orders.Operation.JOIN)
     assert {
@@ -104,8 +104,8 @@
     } == {"i-1", "i-2", "i-3", "i-4"}
     for known in list(bench.view.known.values()):
         report = builders.report(7)
-        bench.view.take_report(known.runner.id, report, bench.now_ms, 0.0)
-    bench.view.known["i-1"].standing = planners.warm(1)[0].standing
+        bench.view.apply_report(known.runner.id, report, bench.now_ms, 0.0)
+    bench.view.known["i-1"].status = planners.warm(1)[0].status
     joins = planners.ordered(bench.step(), orders.Operation.JOIN)
     assert all(each.expected_seq == 7 for each in joins)
 
@@ -120,10 +120,10 @@
     joins = planners.standing(bench)
     group = [bench.view.known[each.runner] for each in joins]
     for each in group:
-        bench.view.take_silence(each.runner.id, bench.now_ms)
+        bench.view.record_no_answer(each.runner.id, bench.now_ms)
     bench.now_ms += 1000
     report = builders.report(3, group[0].membership, "large")
-    bench.view.take_report(group[0].runner.id, report, bench.now_ms, 0.0)
+    bench.view.apply_report(group[0].runner.id, report, bench.now_ms, 0.0)
     actions = bench.step()
     assert not planners.ordered(actions, orders.Operation.LEAVE)
     asked = {
@@ -131,7 +131,7 @@
     }
     assert asked == {each.runner.id for each in group[1:]}
     for each in group[1:]:
-        bench.view.take_silence(each.runner.id, bench.now_ms)
+        bench.view.record_no_answer(each.runner.id, bench.now_ms)
     assert planners.ordered(bench.step(), orders.Operation.LEAVE)
 
 
@@ -146,7 +146,7 @@
     bench.view.list_as_of_ms = bench.now_ms - bench.view.list_stale_ms - 1
     asked = probed(bench.step())
     assert asked == {each.runner for each in joins}
-    bench.view.take_silence(joins[1].runner, bench.now_ms)
+    bench.view.record_no_answer(joins[1].runner, bench.now_ms)
     assert planners.ordered(bench.step(), orders.Operation.LEAVE)
 
 
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -10,7 +10,7 @@
 def sums(age_ms=0.0, **loads):
     return reporting.Sums(
         age_ms, {
-            model.GroupKey(name, 1).mark: flights.GroupLoad(count)
+            model.GroupKey(name, 1).short_id: flights.GroupLoad(count)
             for name, count in loads.items()
         })
 
@@ -85,7 +85,10 @@
             KEY: ONE,
             OTHER: ONE
         }), test_peers.message("b-1", "b", in_flight={KEY: ONE}))
-    assert who.near_loads() == {KEY.mark: ONE.plus(ONE), OTHER.mark: ONE}
+    assert who.near_loads() == {
+        KEY.short_id: ONE.plus(ONE),
+        OTHER.short_id: ONE
+    }
 
 
 def test_reporter_adds_up_the_other_data_centres_and_passes_that_on():
--- a/tests/gateway/test_standing.py
+++ b/tests/gateway/test_standing.py
@@ -51,13 +51,13 @@
 
 def test_group_with_a_member_that_does_not_answer_takes_none():
     view = builders.view(*members())
-    view.take_silence("i-2", 2000)
+    view.record_no_answer("i-2", 2000)
     assert not groups(view)
 
 
 def test_group_whose_head_left_the_list_takes_none():
     view = builders.view(*members())
-    view.take_list(members()[1:], 2000)
+    view.apply_list(members()[1:], 2000)
     assert not groups(view)
 
 
@@ -70,7 +70,7 @@
     view = builders.view(*members())
     found = standing.StandingGroups(view)
     assert found.of_model("llm", "large")
-    view.take_silence("i-1", 2000)
+    view.record_no_answer("i-1", 2000)
     assert not found.of_model("llm", "large")
 
 
@@ -92,6 +92,6 @@
     """
     heartbeat_ms, drain_ms = 1200.0, 2000.0
     gone_ms = 4 * heartbeat_ms
-    known_ms = gone_ms + platformreader.LIST_PART * drain_ms
+    known_ms = gone_ms + platformreader.LIST_INTERVAL_RATIO * drain_ms
     heeded_ms = standing.confirmed_alarm_ms(heartbeat_ms, drain_ms)
     assert heeded_ms > known_ms
--- a/tests/gateway/test_restored_machine.py
+++ b/tests/gateway/test_store_restore_machine.py
@@ -9,11 +9,11 @@
 from cardamommill.gateway import (
     callers,
     clock,
-    peerrows,
     peers,
-    rowsource,
-    sources,
-    tables,
+    peertables,
+    sourceselector,
+    tablecopies,
+    tablereader,
     upstream,
 )
 from cardamommill.platform import storecalls
@@ -24,7 +24,7 @@
 SETTLED_S = 1.0
 
 
-class _FixedSource(sources.Sources):
+class _FixedSource(sourceselector.SourceSelector):
     """Always the same one."""
 
     def __init__(self, source):
@@ -89,18 +89,20 @@
     await store.listen()
     loop = asyncio.get_running_loop()
     read, followed = {}, {}
-    copies = tables.Tables()
+    copies = tablecopies.TableCopies()
     server = callers.CallerServer(
-        peerrows.RowServer(copies, loop.create_task).on_request,
+        peertables.PeerTableServer(copies, loop.create_task).on_request,
         lambda status: None)
     await server.listen(*READER)
     with upstream.Pool() as pool:
         calls = storecalls.Store(pool, modelstore.ADDRESS)
-        reader = rowsource.RowSource(calls, pool, _FixedSource(sources.STORE),
-                                     TABLE, copies.table(TABLE))
-        follower = rowsource.RowSource(
+        reader = tablereader.TableReader(calls, pool,
+                                         _FixedSource(sourceselector.STORE),
+                                         TABLE, copies.table(TABLE))
+        follower = tablereader.TableReader(
             storecalls.Store(pool, modelstore.ADDRESS), pool,
-            _FixedSource(sources.Source(READER)), TABLE, tables.Table())
+            _FixedSource(sourceselector.Source(READER)), TABLE,
+            tablecopies.TableCopy())
         tasks = [
             loop.create_task(_follow(reader, read)),
             loop.create_task(_follow(follower, followed))
--- a/tests/gateway/test_tables.py
+++ b/tests/gateway/test_tablecopies.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from cardamommill.gateway import tables
+from cardamommill.gateway import tablecopies
 from cardamommill.platform import storecalls
 
 
@@ -19,32 +19,32 @@
 
 
 def test_whoever_follows_a_copy_gets_each_change():
-    table = tables.Table()
-    table.take(rows(row("a", 1), row("b", 2), version=3), whole=True)
-    table.take(rows(row("a", 4), row("b", 5, deleted=True), version=5),
-               whole=False)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 1), row("b", 2), version=3), whole=True)
+    table.apply_rows(rows(row("a", 4), row("b", 5, deleted=True), version=5),
+                     whole=False)
     assert {
-        each.key: each.deleted for each in table.since(3)
+        each.key: each.deleted for each in table.changes_since(3)
     } == {
         "a": False,
         "b": True
     }
     assert [each.key for each in table.whole()] == ["a"]
-    assert table.since(5) == ()
+    assert table.changes_since(5) == ()
 
 
 def test_row_that_went_without_a_version_is_told_all_the_same():
     """The store marks it as deleted and names no version of its own."""
-    table = tables.Table()
-    table.take(rows(row("a", 1), version=3), whole=True)
-    table.take(rows(row("a", 0, deleted=True), version=6), whole=False)
-    assert [each.deleted for each in table.since(3)] == [True]
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 1), version=3), whole=True)
+    table.apply_rows(rows(row("a", 0, deleted=True), version=6), whole=False)
+    assert [each.deleted for each in table.changes_since(3)] == [True]
 
 
 def test_forgotten_changes_are_no_news_but_a_gap():
-    table = tables.Table()
-    table.take(rows(version=3), whole=True)
-    assert table.since(2) is None
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(version=3), whole=True)
+    assert table.changes_since(2) is None
 
 
 def test_whole_reading_tells_followers_only_what_is_new():
@@ -52,13 +52,13 @@
 
     Made to do the same, all that follow this copy would have it sent whole.
     """
-    table = tables.Table()
-    table.take(rows(row("a", 1), row("b", 2), row("c", 3), version=3),
-               whole=True)
-    table.take(rows(row("a", 1), row("c", 6), row("d", 7), version=8),
-               whole=True)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 1), row("b", 2), row("c", 3), version=3),
+                     whole=True)
+    table.apply_rows(rows(row("a", 1), row("c", 6), row("d", 7), version=8),
+                     whole=True)
     assert {
-        each.key: each.deleted for each in table.since(3)
+        each.key: each.deleted for each in table.changes_since(3)
     } == {
         "b": True,
         "c": False,
@@ -68,29 +68,31 @@
 
 
 def test_older_answer_changes_nothing():
-    table = tables.Table()
-    table.take(rows(row("a", 5), version=5, as_of_ms=50.0), whole=True)
-    table.take(rows(row("b", 2), version=4, as_of_ms=90.0), whole=True)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 5), version=5, as_of_ms=50.0), whole=True)
+    table.apply_rows(rows(row("b", 2), version=4, as_of_ms=90.0), whole=True)
     assert [each.key for each in table.whole()] == ["a"]
     assert table.as_of_ms == 50.0
 
 
 def test_restored_table_replaces_the_copy_though_its_version_is_lower():
     """A copy that only compares versions keeps the lost rows for good."""
-    table = tables.Table()
-    table.take(rows(row("a", 90), row("lost", 99), version=100), whole=True)
-    table.take(rows(row("a", 90), row("b", 97), version=97, era=1), whole=True)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 90), row("lost", 99), version=100),
+                     whole=True)
+    table.apply_rows(rows(row("a", 90), row("b", 97), version=97, era=1),
+                     whole=True)
     assert sorted(each.key for each in table.whole()) == ["a", "b"]
     # Whoever follows it knows other rows by the same versions.
-    assert table.since(96) is None
-    table.take(rows(row("late", 130), version=130), whole=False)
+    assert table.changes_since(96) is None
+    table.apply_rows(rows(row("late", 130), version=130), whole=False)
     assert sorted(each.key for each in table.whole()) == ["a", "b"]
 
 
 def test_changes_of_an_unknown_era_are_left():
-    table = tables.Table()
-    table.take(rows(row("a", 1), version=3), whole=True)
-    table.take(rows(row("b", 4), version=4, era=1), whole=False)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(row("a", 1), version=3), whole=True)
+    table.apply_rows(rows(row("b", 4), version=4, era=1), whole=False)
     assert table.position == (0, 3)
 
 
@@ -101,19 +103,19 @@
                      max_size=12), strategies.data())
 def test_followers_of_any_age_end_up_with_the_same_rows(batches, data):
     """One that asks now and then, through a copy, sees what the store holds."""
-    table = tables.Table()
-    table.take(rows(version=1), whole=True)
+    table = tablecopies.TableCopy()
+    table.apply_rows(rows(version=1), whole=True)
     followed, seen, version = {}, 1, 1
     for batch in batches:
         changes = []
         for key, deleted in batch:
             version += 1
             changes.append(row(key, version, deleted))
-        table.take(rows(*changes, version=version), whole=False)
+        table.apply_rows(rows(*changes, version=version), whole=False)
         if data.draw(strategies.booleans()):
-            _apply(followed, table.since(seen))
+            _apply(followed, table.changes_since(seen))
             seen = table.version
-    _apply(followed, table.since(seen))
+    _apply(followed, table.changes_since(seen))
     assert followed == {each.key: each for each in table.whole()}
 
 
@@ -128,17 +130,17 @@
 
 def test_followers_hear_of_a_change_in_the_order_in_which_they_came():
     """In no certain order, the same seed gave two different plays."""
-    table = tables.Table()
+    table = tablecopies.TableCopy()
     heard = []
 
     async def follow(number):
-        await table.changed(1000)
+        await table.wait_for_change(1000)
         heard.append(number)
 
     async def work():
         following = [asyncio.create_task(follow(each)) for each in range(60)]
         await asyncio.sleep(0)
-        table.take(rows(row("a", 1), version=1), whole=True)
+        table.apply_rows(rows(row("a", 1), version=1), whole=True)
         await asyncio.gather(*following)
 
     asyncio.run(work())
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -45,9 +45,9 @@
 def test_entry_is_decoded():
     runner = decode()
     assert (runner.host, runner.port) == ("10.0.0.9", 8080)
-    assert runner.standing.membership == model.Membership(
-        "g", 3, 1, model.MemberState.READY)
-    assert runner.standing.staged == ("large",)
+    assert runner.status.membership == model.Membership("g", 3, 1,
+                                                        model.MemberState.READY)
+    assert runner.status.staged == ("large",)
     assert not runner.leaving
 
 
@@ -58,7 +58,7 @@
         if key not in ("domain", "staged", "models", "group")
     }
     runner = entries.decode_entry("i-1", json.dumps(entry).encode(), 1)
-    assert runner.standing.membership is None
+    assert runner.status.membership is None
 
 
 @pytest.mark.parametrize("changes", [
@@ -101,4 +101,4 @@
     # half of all orders were refused.
     report = entries.decode_report("i-1", json.dumps({"seq": 2}).encode())
     assert report.orders_begun == 2
-    assert not hasattr(decode().standing, "seq")
+    assert not hasattr(decode().status, "seq")
--- a/tests/platform/test_storecalls.py
+++ b/tests/platform/test_storecalls.py
@@ -73,7 +73,7 @@
         await calls.table("servers")
         store.compact()
         with pytest.raises(storecalls.HistoryLost):
-            await calls.feed("op", eras.Position(store.era, 0), 100)
+            await calls.feed("op", eras.TablePosition(store.era, 0), 100)
 
     play(script)
 
