--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -41,7 +41,7 @@
     engines: dict[str, model.Engine]
     runners: dict[str, "ListedRunner"]
     loading: int = 0
-    in_lead: bool = True
+    is_before_traffic: bool = True
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/cardamommill/experiment/modelorders.py
+++ b/cardamommill/experiment/modelorders.py
@@ -103,11 +103,12 @@
                 max(0.0, self._stages[served.name] - clock.now_ms()) / 1000)
             return
         fleet = self._runner.fleet
-        if not fleet.in_lead:
+        if not fleet.is_before_traffic:
             fleet.oracle.load_begins()
         fleet.loading += 1
         slowed = max(1.0, fleet.loading / engine.loads_at_once)
-        load_ms = served.load_ms * slowed * (LEAD_PART if fleet.in_lead else 1)
+        load_ms = served.load_ms * slowed * (LEAD_PART
+                                             if fleet.is_before_traffic else 1)
         self._stages[served.name] = clock.now_ms() + load_ms
         try:
             await asyncio.sleep(load_ms / 1000)
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -69,7 +69,7 @@
     def _take_job(self, request: callers.CallerRequest,
                   reply: replies.Reply) -> modelfleet.Job | None:
         attempt = request.get(words.ATTEMPT_ID) or ""
-        self.fleet.in_lead = False
+        self.fleet.is_before_traffic = False
         self.fleet.oracle.arrives(attempt, self.service, self.id,
                                   request.get(words.TENANT) or "",
                                   request.method, request.target, request.body)
--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -11,7 +11,7 @@
     clock,
     dispatcher,
     fleetview,
-    groupkeeper,
+    groupcontroller,
     model,
     peermessage,
     standing,
@@ -63,16 +63,17 @@
 
     def __init__(self, view: fleetview.FleetView,
                  requests: dispatcher.Dispatcher,
-                 keeper: groupkeeper.GroupKeeper, figures: metrics.Metrics,
-                 confirmed_ms: float, plans_for: Callable[[model.GroupKey],
-                                                          bool],
-                 spread: Callable[[], None], spawn: groupkeeper.Spawn) -> None:
+                 group_controller: groupcontroller.GroupController,
+                 figures: metrics.Metrics, confirmed_ms: float,
+                 plans_for: Callable[[model.GroupKey],
+                                     bool], spread: Callable[[], None],
+                 spawn: groupcontroller.Spawn) -> None:
         """Makes it.
 
         Args:
             view: What is believed of runners.
             requests: This node's requests.
-            keeper: Asks runners.
+            group_controller: Probes runners.
             figures: Counts alarms.
             confirmed_ms: How long an alarm is heeded that found a member dead.
             plans_for: Whether this node plans for a group.
@@ -81,7 +82,7 @@
         """
         self._view = view
         self._requests = requests
-        self._keeper = keeper
+        self._group_controller = group_controller
         self._metrics = figures
         self._confirmed_ms = confirmed_ms
         self._plans_for = plans_for
@@ -146,7 +147,7 @@
             self._spawn(self._ask(runner))
 
     async def _ask(self, runner: str) -> None:
-        await self._keeper.ask(runner, "did not answer")
+        await self._group_controller.probe(runner, "did not answer")
 
     def _suspect(self, key: model.GroupKey, now_ms: float) -> None:
         """Asks the members of a silent group, and sends it nothing meanwhile.
@@ -223,7 +224,8 @@
                              reason: str) -> None:
         was_up = {each.runner.id for each in members if not each.down_ms}
         answers = await asyncio.gather(
-            *(self._keeper.ask(each.runner.id, reason) for each in members))
+            *(self._group_controller.probe(each.runner.id, reason)
+              for each in members))
         now_ms = clock.now_ms()
         if all(answers):
             self._alarms.pop(key, None)
--- a/cardamommill/gateway/choosing.py
+++ b/cardamommill/gateway/allocation.py
@@ -23,13 +23,14 @@
 LEAST_SHARE = 1e-6
 
 
-class Choosing:
+class Allocation:
     """Chooses for one planner; pure but for what its parts remember."""
 
     def __init__(self, view: fleetview.FleetView, made: formations.Formations,
-                 pending: set[str], seen: overload.Overload,
+                 pending: set[str], seen: overload.OverloadDetector,
                  staged: spares.Spares, given_up: consolidation.Consolidation,
-                 moves: rebalancing.Rebalancing, work: demand.Demand) -> None:
+                 moves: rebalancing.Rebalancing,
+                 work: demand.DemandEstimator) -> None:
         """Makes it.
 
         Args:
@@ -61,7 +62,7 @@
             scope: For whom it is done.
             now_ms: The time.
         """
-        self._spares.forget_staged(now_ms)
+        self._spares.prune_staging(now_ms)
         places = self._by_place(service, scope)
         for place in sorted(places):
             domains = places[place]
@@ -107,9 +108,10 @@
         return places
 
     def _stage(self, engine: model.Engine, scope: planning.Scope,
-               runners: list[fleetview.RunnerRecord], need: overload.Need,
+               runners: list[fleetview.RunnerRecord],
+               need: overload.CapacityState,
                now_ms: float) -> Iterator[planning.Action]:
-        if scope.in_lead and self._loading(now_ms):
+        if scope.is_before_traffic and self._loading(now_ms):
             # Groups first: staging shares the store's bandwidth. Not until they
             # are open: a spare whose load begins just after the first request
             # takes ten times as long.
@@ -118,23 +120,25 @@
         yield from self._spares.stage(engine, scope, free, need, now_ms)
 
     def _need(self, service: str, engine: model.Engine,
-              runners: list[fleetview.RunnerRecord]) -> overload.Need:
+              runners: list[fleetview.RunnerRecord]) -> overload.CapacityState:
         ids = {each.runner.id for each in runners}
-        holds: dict[str, int] = {}
+        runner_counts: dict[str, int] = {}
         for name, members in self._members_by_model(service):
-            holds[name] = holds.get(name, 0) + len(members & ids)
+            runner_counts[name] = runner_counts.get(name,
+                                                    0) + len(members & ids)
         for known in runners:
             if self.is_free(known):
                 name = self._spares.warm_model(known)
-                holds[name] = holds.get(name, 0) + 1
+                runner_counts[name] = runner_counts.get(name, 0) + 1
         overloaded = frozenset(each.name
                                for each in engine.models
                                if self._overload.is_overloaded(each.name))
-        return overload.Need(overloaded, holds,
-                             sum(each.is_usable for each in runners),
-                             self._fullness(service, engine))
+        return overload.CapacityState(overloaded, runner_counts,
+                                      sum(each.is_usable for each in runners),
+                                      self._utilisation(service, engine))
 
-    def _fullness(self, service: str, engine: model.Engine) -> dict[str, float]:
+    def _utilisation(self, service: str,
+                     engine: model.Engine) -> dict[str, float]:
         groups = self._view.groups(service).values()
         found = {}
         for served in engine.models:
@@ -165,12 +169,12 @@
         # A group over two domains is slower, but it serves; it may use up
         # spares only while its model has fewer groups than its share.
         for served in self._by_need(service, engine, runners, now_ms):
-            if self._consolidation.is_under_way(service, served.name):
+            if self._consolidation.is_retiring_model(service, served.name):
                 continue
             if not self._is_short(service, engine, served, scope, runners):
                 continue
             fits = served.size <= largest_domain
-            if fits and scope.in_lead:
+            if fits and scope.is_before_traffic:
                 continue
             warm = [
                 each for each in runners if self.is_free(each) and
@@ -201,7 +205,7 @@
                  served: model.ServedModel, scope: planning.Scope) -> bool:
         serving = fleetview.serving(
             self._view.groups(service).values(), served.name)
-        load = scope.load_at(serving).all_requests
+        load = scope.total_load(serving).all_requests
         return load > BUSY_PART * engine.slots * len(serving)
 
     def _by_need(self, service: str, engine: model.Engine,
@@ -222,7 +226,7 @@
             each.name: max(each.share, LEAST_SHARE) for each in engine.models
         }
         all_shares = sum(shares.values())
-        is_seen = self._demand.is_known(service, now_ms)
+        is_seen = self._demand.has_enough_data(service, now_ms)
 
         def need(served: model.ServedModel) -> tuple[bool, float, float]:
             share = shares[served.name]
@@ -266,7 +270,7 @@
             if (not self._overload.is_overloaded(served.name) and
                     len(free) - served.size < reserve):
                 return None
-        if cold and not scope.in_lead:
+        if cold and not scope.is_before_traffic:
             # Loading takes some ten times as long as all else: spares are
             # staged, and the group is formed once its members are warm.
             return None
--- a/cardamommill/gateway/consolidation.py
+++ b/cardamommill/gateway/consolidation.py
@@ -55,18 +55,18 @@
         self._formations = made
         self._given_up: dict[model.GroupKey, _GivenUp] = {}
 
-    def give_up(self, service: str, group: fleetview.Group, reason: str,
-                now_ms: float) -> Iterator[planning.Action]:
+    def retire(self, service: str, group: fleetview.Group, reason: str,
+               now_ms: float) -> Iterator[planning.Action]:
         """Closes a group; its members leave once it has finished."""
         self._given_up[group.key] = _GivenUp(service, group.model, now_ms,
                                              now_ms)
         yield _close(group, reason)
 
-    def has(self, key: model.GroupKey) -> bool:
+    def is_retiring(self, key: model.GroupKey) -> bool:
         """Whether a group is being given up."""
         return key in self._given_up
 
-    def is_under_way(self, service: str, model_name: str) -> bool:
+    def is_retiring_model(self, service: str, model_name: str) -> bool:
         """Whether groups of a model are being given up.
 
         Their members come free one after the other, and would make a slow
@@ -99,7 +99,7 @@
             elif _all_in(group, ids):
                 yield from self._go_on(group, given_up, now_ms)
         for served in engine.models:
-            if not self.is_under_way(service, served.name):
+            if not self.is_retiring_model(service, served.name):
                 yield from self._begin(service, engine, served, groups, runners,
                                        is_free, now_ms)
 
@@ -136,7 +136,7 @@
             for known in runners
             if is_free(known) and planning.is_warm(known, served))
         for group in _worth_it(slow, warm, served.size, engine.far_factor):
-            yield from self.give_up(service, group, QUICKER, now_ms)
+            yield from self.retire(service, group, QUICKER, now_ms)
 
 
 def _close(group: fleetview.Group, reason: str) -> orders.Order:
--- a/cardamommill/gateway/demand.py
+++ b/cardamommill/gateway/demand.py
@@ -27,15 +27,15 @@
     requests: dict[str, float]
 
 
-class Demand:
+class DemandEstimator:
     """The requests that run and wait at the groups of each model."""
 
     def __init__(self) -> None:
         self._seen: dict[str, _Seen] = {}
 
-    def see(self, service: str, engine: model.Engine,
-            groups: dict[model.GroupKey, fleetview.Group],
-            scope: planning.Scope, now_ms: float) -> None:
+    def observe(self, service: str, engine: model.Engine,
+                groups: dict[model.GroupKey, fleetview.Group],
+                scope: planning.Scope, now_ms: float) -> None:
         """Takes in what is at the groups now.
 
         A model without a group keeps what was seen of it.
@@ -47,7 +47,7 @@
             scope: What requests are where.
             now_ms: The time.
         """
-        if scope.in_lead:
+        if scope.is_before_traffic:
             return
         seen = self._seen.setdefault(service, _Seen(now_ms, now_ms, {}))
         weight = min(1.0, (now_ms - seen.last_ms) / MEMORY_MS)
@@ -56,11 +56,11 @@
             serving = fleetview.serving(groups.values(), served.name)
             if not serving:
                 continue
-            count = scope.load_at(serving).all_requests
+            count = scope.total_load(serving).all_requests
             before = seen.requests.get(served.name, float(count))
             seen.requests[served.name] = before + weight * (count - before)
 
-    def is_known(self, service: str, now_ms: float) -> bool:
+    def has_enough_data(self, service: str, now_ms: float) -> bool:
         """Whether requests were seen for long enough to go by them."""
         seen = self._seen.get(service)
         return seen is not None and now_ms - seen.began_ms >= LEAST_SEEN_MS
@@ -79,7 +79,7 @@
             engine: With the declared shares.
             now_ms: The time.
         """
-        if not self.is_known(service, now_ms):
+        if not self.has_enough_data(service, now_ms):
             return engine
         work = {
             each.name: each.size * self.requests(service, each.name)
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -57,7 +57,7 @@
                  fresh: freshness.Freshness, others: peers.Peers,
                  figures: metrics.Metrics,
                  spawn: Callable[[Coroutine[Any, Any, None]], None]) -> None:
-        """Makes it; its owner sets `expected_ms` and what begins with `on_`."""
+        """Makes it; its owner sets `expected_recovery_ms` and the callbacks."""
         self._settings = settings
         self.pool = pool
         self.spawn = spawn
@@ -87,7 +87,7 @@
         # Who looks into a group that refused one.
         self.on_refusal: Callable[[model.GroupKey, str], None] = _nobody
         # When a group that is missing should stand again.
-        self.expected_ms: Callable[[], float] = _soon
+        self.expected_recovery_ms: Callable[[], float] = _soon
 
     def reload(self, settings: entrysettings.EntrySettings) -> None:
         """Takes changed settings."""
@@ -220,7 +220,7 @@
                                   self._group_loads.age_ms),
             overhead_ms=self.forecast.overhead_ms(service.name))
         placed = placing.place(engine, one.work, candidates, excluded, wish,
-                               self.expected_ms())
+                               self.expected_recovery_ms())
         if isinstance(placed, placing.Refused):
             return placed
         key = placed.candidate.key
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -18,7 +18,7 @@
     entrysettings,
     fleetview,
     freshness,
-    groupkeeper,
+    groupcontroller,
     holding,
     model,
     nodelink,
@@ -99,20 +99,21 @@
                                                self._reader, self._freshness,
                                                self._peers, self.metrics,
                                                self.spawn)
-        self._keeper = groupkeeper.GroupKeeper(
+        self._group_controller = groupcontroller.GroupController(
             self.view, self.pool,
             f"{settings.node[:24]}-{self._incarnation % 36**5:x}",
             self._on_opened, self._reader.request_list_read, self.spawn)
         self._link = nodelink.NodeLink(settings, self._peers, self._compose,
                                        self._on_message, self._on_return)
         self._alarms = alarms.Alarms(
-            self.view, self._requests, self._keeper, self.metrics,
+            self.view, self._requests, self._group_controller, self.metrics,
             standing.confirmed_alarm_ms(settings.heartbeat_ms,
                                         settings.bounds.drain_ms),
             self._plans_for, self._speak_at_once, self.spawn)
         self._requests.on_fault = self._alarms.probe
         self._requests.on_refusal = self._alarms.refused
-        self._requests.expected_ms = self._keeper.expected_ms
+        self._requests.expected_recovery_ms = (
+            self._group_controller.expected_recovery_ms)
         self._opened = openedgroups.OpenedGroups(self.view)
         self._ticks = 0
         self._done: asyncio.Event
@@ -337,11 +338,12 @@
                                                 now_ms)
         if not ours:
             return
-        in_lead = not (self._requests_seen or self._peers.any_requests_seen())
-        scope = planning.Scope(ours, len(self._settings.data_centres), in_lead,
-                               self._requests.loads(),
+        is_before_traffic = not (self._requests_seen or
+                                 self._peers.any_requests_seen())
+        scope = planning.Scope(ours, len(self._settings.data_centres),
+                               is_before_traffic, self._requests.loads(),
                                self._settings.data_centres)
-        self._keeper.plan(table.configuration, scope, now_ms)
+        self._group_controller.plan(table.configuration, scope, now_ms)
 
     def _on_opened(self, key: model.GroupKey, name: str, head: str) -> None:
         self._opened.note(peermessage.OpenedGroup(key, name, head),
--- a/cardamommill/gateway/fleetsummary.py
+++ b/cardamommill/gateway/fleetsummary.py
@@ -7,16 +7,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judges:
+class PlannerState:
     """What only the planner can tell.
 
     Attributes:
-        is_ours: Whether it orders the members of a group.
+        is_in_scope: Whether it orders the members of a group.
         is_free: Whether a runner may join a group.
         spares: What free runners hold.
     """
 
-    is_ours: Callable[[fleetview.Group], bool]
+    is_in_scope: Callable[[fleetview.Group], bool]
     is_free: Callable[[fleetview.RunnerRecord], bool]
     spares: spares.Spares
 
@@ -24,7 +24,8 @@
 def summary(groups: Iterable[fleetview.Group],
             formations: Iterable[planning.Formation],
             runners: Iterable[fleetview.RunnerRecord], service: str,
-            judges: Judges, scope: planning.Scope) -> dict[str, str]:
+            planner_state: PlannerState,
+            scope: planning.Scope) -> dict[str, str]:
     """Returns counts by what runners and groups do, and by model.
 
     Args:
@@ -32,7 +33,7 @@
         formations: On their way, of all services.
         runners: Of the service.
         service: Its name.
-        judges: What only the planner can tell.
+        planner_state: What only the planner can tell.
         scope: For whom it plans.
     """
     counts: dict[str, dict[str, int]] = {}
@@ -42,14 +43,14 @@
         of_kind[name] = of_kind.get(name, 0) + 1
 
     for group in groups:
-        if group.is_open and judges.is_ours(group):
+        if group.is_open and planner_state.is_in_scope(group):
             add("open", group.model)
     for formation in formations:
         if formation.service == service:
             add("forming", formation.model.name)
     for known in runners:
         if known.runner.data_centre in scope.data_centres:
-            _add_runner(known, judges, add)
+            _add_runner(known, planner_state, add)
     return {
         kind:
             ",".join(f"{name}:{count}" for name, count in sorted(names.items()))
@@ -57,13 +58,14 @@
     }
 
 
-def _add_runner(known: fleetview.RunnerRecord, judges: Judges,
+def _add_runner(known: fleetview.RunnerRecord, planner_state: PlannerState,
                 add: Callable[[str, str], None]) -> None:
     if known.down_ms:
         add("down", "runners")
     elif known.is_leaving:
         add("leaving", "runners")
-    elif judges.is_free(known):
-        staging = judges.spares.is_staging(known.runner.id)
-        name = judges.spares.warm_model(known) or known.last_model or "blank"
+    elif planner_state.is_free(known):
+        staging = planner_state.spares.is_staging(known.runner.id)
+        name = planner_state.spares.warm_model(
+            known) or known.last_model or "blank"
         add("staging" if staging else "free", name)
--- a/cardamommill/gateway/formations.py
+++ b/cardamommill/gateway/formations.py
@@ -21,7 +21,7 @@
 # A member's join is ordered so often at most. Given up for the first that was
 # not answered, no group of many members was formed while one order in three is
 # lost; with this nearly all are.
-JOIN_TRIES = 6
+MAX_JOIN_ATTEMPTS = 6
 # From the end of a join to its word in the list.
 DUE_MARGIN_MS = 20.0
 
@@ -30,7 +30,7 @@
     """All formations of one planner."""
 
     def __init__(self, view: fleetview.FleetView, name: str, pending: set[str],
-                 ledger: loads.LoadLedger) -> None:
+                 ledger: loads.LoadRateLimiter) -> None:
         """Makes it.
 
         Args:
@@ -47,7 +47,7 @@
         self._epoch = 0
         self.by_key: dict[model.GroupKey, planning.Formation] = {}
 
-    def see_epoch(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Has all later groups come after an epoch that was seen."""
         self._epoch = max(self._epoch, epoch)
 
@@ -55,7 +55,7 @@
         """Whether a runner is in any of them."""
         return any(runner in each.members for each in self.by_key.values())
 
-    def of(self, order: orders.Order) -> planning.Formation | None:
+    def for_order(self, order: orders.Order) -> planning.Formation | None:
         """Returns the formation that an order belongs to."""
         return self.by_key.get(order.group) if order.group else None
 
@@ -82,23 +82,24 @@
         assert head is not None and head.membership is not None or unready
         yield from self._join_again(formation)
         if unready:
-            if now_ms >= max(formation.due_ms - SOON_MS, formation.probe_ms):
+            if now_ms >= max(formation.due_ms - SOON_MS,
+                             formation.next_check_ms):
                 is_late = now_ms > formation.due_ms + OVERDUE_MS
-                formation.probe_ms = now_ms + (LATE_LOOK_AGAIN_MS
-                                               if is_late else LOOK_AGAIN_MS)
+                formation.next_check_ms = now_ms + (LATE_LOOK_AGAIN_MS if
+                                                    is_late else LOOK_AGAIN_MS)
                 yield from self._look(unready, now_ms)
             return
         assert head is not None and head.membership is not None
         if head.membership.state is model.MemberState.OPEN:
             del self.by_key[formation.key]
-            yield planning.Opened(formation.key, formation.service,
-                                  formation.model.name, head.runner.id,
-                                  now_ms - formation.begun_ms)
+            yield planning.GroupOpened(formation.key, formation.service,
+                                       formation.model.name, head.runner.id,
+                                       now_ms - formation.started_ms)
             return
         if not formation.open_sent_ms:
             formation.open_sent_ms = now_ms
-            formation.open_tries += 1
-            formation.probe_ms = now_ms + engine.form_ms + 20
+            formation.open_attempts += 1
+            formation.next_check_ms = now_ms + engine.form_ms + 20
             yield orders.Order(head.runner.id,
                                orders.Operation.OPEN,
                                formation.key,
@@ -142,15 +143,15 @@
                     membership.state is model.MemberState.BROKEN):
                 return "broken"
             if (membership is None and runner_id not in self._pending and
-                    runner_id not in formation.unanswered and
+                    runner_id not in formation.unanswered_joins and
                     now_ms > formation.due_ms and
-                    known.report_ms > formation.begun_ms):
+                    known.report_ms > formation.started_ms):
                 return f"{runner_id} did not join"
-        took_ms = now_ms - formation.begun_ms
-        planned_ms = formation.due_ms - formation.begun_ms
+        took_ms = now_ms - formation.started_ms
+        planned_ms = formation.due_ms - formation.started_ms
         if took_ms > max(PATIENCE_FLOOR_MS, PATIENCE * planned_ms):
             return f"not ready after {took_ms:.0f} ms"
-        if formation.open_tries > 4:
+        if formation.open_attempts > 4:
             return "head does not open"
         return ""
 
@@ -178,9 +179,9 @@
         at_once = cold * scope.count / max(1, len(scope.data_centres))
         slowed = max(1.0, at_once / engine.loads_at_once)
         longest_ms = max(planning.join_ms(each, served) for each in picked)
-        if scope.in_lead and cold:
+        if scope.is_before_traffic and cold:
             longest_ms *= slowed * LEAD_LOAD_FACTOR
-        if not scope.in_lead:
+        if not scope.is_before_traffic:
             self._ledger.note(cold, now_ms)
         members = tuple(each.runner.id for each in picked)
         formation = planning.Formation(key, service, served, members, now_ms,
@@ -211,34 +212,34 @@
         The runner takes the same join twice for one, and names the count that
         it has by now: one that is carried out late is refused.
         """
-        for member in list(formation.unanswered):
+        for member in list(formation.unanswered_joins):
             known = self._view.known[member]
             place = known.membership
             if place is not None and place.key == formation.key:
                 # The answer was lost, or the order carried out late.
-                del formation.unanswered[member]
+                del formation.unanswered_joins[member]
             elif member not in self._pending and place is None:
                 yield self._join(formation, member, "no answer to the last")
 
     def join_refused(self, formation: planning.Formation, runner: str,
-                     reason: str, may_repeat: bool) -> None:
+                     reason: str, may_retry: bool) -> None:
         """Notes that a member did not answer, or refused.
 
         Args:
             formation: Its group.
             runner: The member.
             reason: What it said.
-            may_repeat: Whether it may accept the same order later.
+            may_retry: Whether it may accept the same order later.
         """
-        tries = formation.unanswered.get(runner, 0) + 1
-        formation.unanswered[runner] = tries
-        if not may_repeat or tries >= JOIN_TRIES:
+        tries = formation.unanswered_joins.get(runner, 0) + 1
+        formation.unanswered_joins[runner] = tries
+        if not may_retry or tries >= MAX_JOIN_ATTEMPTS:
             formation.refused = f"{runner} refused: {reason}"
 
     def join_accepted(self, formation: planning.Formation, runner: str,
                       now_ms: float) -> None:
         """Notes that a member joins; the group is due later if it is late."""
-        if formation.unanswered.pop(runner, 0):
+        if formation.unanswered_joins.pop(runner, 0):
             known = self._view.known[runner]
             takes_ms = planning.join_ms(known, formation.model)
             formation.due_ms = max(formation.due_ms,
--- a/cardamommill/gateway/groupkeeper.py
+++ b/cardamommill/gateway/groupcontroller.py
@@ -38,7 +38,7 @@
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
-class GroupKeeper:
+class GroupController:
     """The shell around `planner.Planner`."""
 
     def __init__(self, view: fleetview.FleetView, pool: upstream.Pool,
@@ -54,7 +54,7 @@
         self._told_ms = float("-inf")
         self.planner = planner.Planner(view, name)
 
-    def expected_ms(self) -> float:
+    def expected_recovery_ms(self) -> float:
         """Returns when a group that is missing should stand again."""
         now_ms = clock.now_ms()
         due = [
@@ -80,7 +80,7 @@
         _LOG.info(
             logs.line("fleet",
                       data_centres=",".join(sorted(scope.data_centres)),
-                      lead=scope.in_lead,
+                      lead=scope.is_before_traffic,
                       list_age_ms=int(now_ms - self._view.list_as_of_ms),
                       **self.planner.summary(service, scope)))
 
@@ -105,7 +105,7 @@
         known = self._view.known.get(order.runner)
         if known is None:
             self.planner.refused(order, "unknown runner", clock.now_ms())
-            self.planner.settled(order)
+            self.planner.rechecked(order)
             return
         reply, detail = await ordercalls.send_order(self._pool, known.runner,
                                                     order)
@@ -119,7 +119,7 @@
             self.planner.refused(order,
                                  reply.value,
                                  now_ms,
-                                 may_repeat=reply in _MAY_COME_THROUGH)
+                                 may_retry=reply in _MAY_COME_THROUGH)
         _LOG.info(
             logs.line("order",
                       runner=order.runner,
@@ -133,8 +133,8 @@
         if not accepted:
             # A report tells what was true some time ago.
             await asyncio.sleep((self._lag_ms + LAG_MARGIN_MS) / 1000)
-            await self.ask(order.runner, "order not accepted")
-            self.planner.settled(order)
+            await self.probe(order.runner, "order not accepted")
+            self.planner.rechecked(order)
 
     def _take_accepted(self, order: orders.Order, known: fleetview.RunnerRecord,
                        reply: ordercalls.Reply, now_ms: float) -> None:
@@ -154,9 +154,9 @@
         self._view.record_order(order.runner, begun, membership, now_ms)
 
     async def _probe(self, probe: planning.Probe) -> None:
-        await self.ask(probe.runner, probe.reason)
+        await self.probe(probe.runner, probe.reason)
 
-    async def ask(self, runner_id: str, reason: str) -> bool:
+    async def probe(self, runner_id: str, reason: str) -> bool:
         """Asks a runner for its report; True where it answered.
 
         Asked a second time on another connection while the first is open: a
--- a/cardamommill/gateway/loads.py
+++ b/cardamommill/gateway/loads.py
@@ -9,7 +9,7 @@
 LOAD_WINDOW_MS = 5000.0
 
 
-class LoadLedger:
+class LoadRateLimiter:
     """Counts the loads that one planner began."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
     def may_load(self, engine: model.Engine, scope: planning.Scope,
                  now_ms: float) -> bool:
         """Whether one more keeps to this planner's part of the rate."""
-        if scope.in_lead:
+        if scope.is_before_traffic:
             return True
         self._loads_ms = [
             each for each in self._loads_ms if now_ms - each < LOAD_WINDOW_MS
--- a/cardamommill/gateway/overload.py
+++ b/cardamommill/gateway/overload.py
@@ -13,52 +13,53 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Need:
+class CapacityState:
     """What the models of a data centre lack.
 
     Attributes:
         overloaded: Models that need more groups.
-        holds: Runners that each has: members, spares, and those that load.
+        runner_counts: Runners of each model: members of its groups, spares, and
+            those that load it.
         usable: Runners that there are.
-        fullness: Requests for each place of a model's groups.
+        utilisation: Requests for each place of a model's groups.
     """
 
     overloaded: frozenset[str]
-    holds: dict[str, int]
+    runner_counts: dict[str, int]
     usable: int
-    fullness: dict[str, float] = dataclasses.field(default_factory=dict)
+    utilisation: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def is_busier(self, one: str, other: str) -> bool:
         """Whether a model's groups are fuller than another's."""
-        return self.fullness.get(one, 0.0) > self.fullness.get(other, 0.0)
+        return self.utilisation.get(one, 0.0) > self.utilisation.get(other, 0.0)
 
-    def comes_first(self, served: model.ServedModel) -> bool:
+    def has_load_priority(self, served: model.ServedModel) -> bool:
         """Whether the next load is for a model, whatever else is near a group.
 
         Not beyond its share: what is loaded now serves in 16 s, and until then
         requests go on waiting and would call for more.
         """
-        held = self.holds.get(served.name, 0)
+        held = self.runner_counts.get(served.name, 0)
         return (served.name in self.overloaded and
                 held < served.share * self.usable)
 
-    def moves(self, before: str, after: str) -> None:
+    def reassign(self, before: str, after: str) -> None:
         """Notes that a runner will hold another model."""
-        if before in self.holds:
-            self.holds[before] -= 1
-        self.holds[after] = self.holds.get(after, 0) + 1
+        if before in self.runner_counts:
+            self.runner_counts[before] -= 1
+        self.runner_counts[after] = self.runner_counts.get(after, 0) + 1
 
 
-class Overload:
+class OverloadDetector:
     """Keeps the part of late requests of each model."""
 
     def __init__(self) -> None:
         self._part: dict[str, float] = {}
         self._seen_ms: dict[str, float] = {}
 
-    def see(self, service: str, engine: model.Engine,
-            groups: dict[model.GroupKey, fleetview.Group],
-            scope: planning.Scope, now_ms: float) -> None:
+    def observe(self, service: str, engine: model.Engine,
+                groups: dict[model.GroupKey, fleetview.Group],
+                scope: planning.Scope, now_ms: float) -> None:
         """Takes in what is at the groups now.
 
         Args:
@@ -68,7 +69,7 @@
             scope: What requests are where.
             now_ms: The time.
         """
-        if scope.in_lead:
+        if scope.is_before_traffic:
             return
         # Groups that can't be reached take no requests of here: in a data
         # centre that was cut off one group stood, and spares for two lay idle
@@ -78,7 +79,7 @@
         weight = min(1.0, since_ms / MEMORY_MS)
         for served in engine.models:
             serving = fleetview.serving(groups.values(), served.name)
-            load = scope.load_at(serving)
+            load = scope.total_load(serving)
             part = load.patient / max(1, load.all_requests) if serving else 1.0
             before = self._part.get(served.name, 0.0)
             self._part[served.name] = before + weight * (part - before)
--- a/cardamommill/gateway/planner.py
+++ b/cardamommill/gateway/planner.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 
 from cardamommill.gateway import (
-    choosing,
+    allocation,
     consolidation,
     demand,
     fleetsummary,
@@ -37,20 +37,21 @@
         """
         self._view = view
         self._pending: set[str] = set()
-        ledger = loads.LoadLedger()
+        ledger = loads.LoadRateLimiter()
         self._formations = formations.Formations(view, name, self._pending,
                                                  ledger)
-        self._overload = overload.Overload()
-        self._demand = demand.Demand()
+        self._overload = overload.OverloadDetector()
+        self._demand = demand.DemandEstimator()
         self._spares = spares.Spares(view, ledger)
         slow = consolidation.Consolidation(self._formations)
         self._reconciliation = reconciliation.Reconciliation(
             view, self._formations, slow)
         self._rebalancing = rebalancing.Rebalancing(self._demand, ledger, slow)
-        self._choosing = choosing.Choosing(view, self._formations,
-                                           self._pending, self._overload,
-                                           self._spares, slow,
-                                           self._rebalancing, self._demand)
+        self._allocation = allocation.Allocation(view, self._formations,
+                                                 self._pending, self._overload,
+                                                 self._spares, slow,
+                                                 self._rebalancing,
+                                                 self._demand)
 
     @property
     def formations(self) -> dict[model.GroupKey, planning.Formation]:
@@ -65,15 +66,15 @@
             return []
         groups = self._view.groups(service.name)
         for key in groups:
-            self._formations.see_epoch(key.epoch)
-        self._overload.see(service.name, engine, groups, scope, now_ms)
-        self._demand.see(service.name, engine, groups, scope, now_ms)
+            self._formations.observe_epoch(key.epoch)
+        self._overload.observe(service.name, engine, groups, scope, now_ms)
+        self._demand.observe(service.name, engine, groups, scope, now_ms)
         engine = self._demand.engine(service.name, engine, now_ms)
         actions: list[planning.Action] = []
         actions += self._formations.advance(service.name, engine, now_ms)
         actions += self._reconciliation.step(groups, service.name, engine,
                                              scope, now_ms)
-        actions += self._choosing.step(service.name, engine, scope, now_ms)
+        actions += self._allocation.step(service.name, engine, scope, now_ms)
         return list(_one_order_each(actions))
 
     # What the shell tells.
@@ -85,7 +86,7 @@
     def accepted(self, order: orders.Order, now_ms: float) -> None:
         """Notes that an order was accepted."""
         self._pending.discard(order.runner)
-        formation = self._formations.of(order)
+        formation = self._formations.for_order(order)
         if formation is None:
             return
         if order.operation is orders.Operation.OPEN:
@@ -97,27 +98,27 @@
                 order: orders.Order,
                 reason: str,
                 now_ms: float,
-                may_repeat: bool = False) -> None:
+                may_retry: bool = False) -> None:
         """Notes that an order was not accepted, or perhaps not.
 
-        The runner gets no other order until `settled`: what is believed of it
+        The runner gets no other order until `rechecked`: what is believed of it
         is wrong, and its report tells only later what is true.
 
         Args:
             order: The order.
             reason: What the runner said.
             now_ms: The time.
-            may_repeat: Whether the same order may be accepted later.
+            may_retry: Whether the same order may be accepted later.
         """
         if order.operation is orders.Operation.STAGE:
-            self._spares.give_up(order.runner, now_ms)
+            self._spares.load_refused(order.runner, now_ms)
             self._rebalancing.refused(order.runner, now_ms)
-        formation = self._formations.of(order)
+        formation = self._formations.for_order(order)
         if formation is not None and order.operation is orders.Operation.JOIN:
             self._formations.join_refused(formation, order.runner, reason,
-                                          may_repeat)
+                                          may_retry)
 
-    def settled(self, order: orders.Order) -> None:
+    def rechecked(self, order: orders.Order) -> None:
         """Notes that a runner was asked after an order that it refused."""
         self._pending.discard(order.runner)
 
@@ -126,9 +127,9 @@
         return fleetsummary.summary(
             self._view.groups(service).values(), self.formations.values(),
             self._view.runners_of(service), service,
-            fleetsummary.Judges(
-                lambda group: reconciliation.is_ours(group, scope),
-                self._choosing.is_free, self._spares), scope)
+            fleetsummary.PlannerState(
+                lambda group: reconciliation.is_in_scope(group, scope),
+                self._allocation.is_free, self._spares), scope)
 
 
 def _one_order_each(
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opened:
+class GroupOpened:
     """Tells all nodes that a group serves."""
 
     key: model.GroupKey
@@ -34,7 +34,7 @@
     took_ms: float
 
 
-Action = orders.Order | Probe | ReadList | Opened
+Action = orders.Order | Probe | ReadList | GroupOpened
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,16 +45,16 @@
     service: str
     model: model.ServedModel
     members: tuple[str, ...]
-    begun_ms: float
+    started_ms: float
     due_ms: float
     loads: int = 0
-    probe_ms: float = 0.0
+    next_check_ms: float = 0.0
     open_sent_ms: float = 0.0
     open_accepted_ms: float = 0.0
-    open_tries: int = 0
+    open_attempts: int = 0
     refused: str = ""
     # Members that did not answer their join, and how often.
-    unanswered: dict[str, int] = dataclasses.field(default_factory=dict)
+    unanswered_joins: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,14 +64,15 @@
     Attributes:
         data_centres: Those whose runners it orders.
         count: How many data centres there are; they share limits.
-        in_lead: Whether no request has come yet: loads are cheap then.
+        is_before_traffic: Whether no request has arrived yet: loads are cheap
+            then.
         loads: Requests of all nodes per group.
         places: All data centres.
     """
 
     data_centres: frozenset[str]
     count: int
-    in_lead: bool
+    is_before_traffic: bool
     loads: dict[model.GroupKey, flights.GroupLoad]
     places: tuple[str, ...] = ()
 
@@ -79,7 +80,8 @@
         """Returns what is at a group."""
         return self.loads.get(key, flights.NO_LOAD)
 
-    def load_at(self, groups: Iterable[fleetview.Group]) -> flights.GroupLoad:
+    def total_load(self,
+                   groups: Iterable[fleetview.Group]) -> flights.GroupLoad:
         """Returns what is at some groups together."""
         return functools.reduce(flights.GroupLoad.plus,
                                 (self.load(each.key) for each in groups),
--- a/cardamommill/gateway/rebalancing.py
+++ b/cardamommill/gateway/rebalancing.py
@@ -68,7 +68,8 @@
     members, which takes a second or two.
     """
 
-    def __init__(self, seen: demand.Demand, ledger: loads.LoadLedger,
+    def __init__(self, seen: demand.DemandEstimator,
+                 ledger: loads.LoadRateLimiter,
                  given_up: consolidation.Consolidation) -> None:
         """Makes it.
 
@@ -96,7 +97,7 @@
             place: The data centre.
             now_ms: The time.
         """
-        if not self._demand.is_known(service, now_ms):
+        if not self._demand.has_enough_data(service, now_ms):
             return
         move = self._moves.get((service, place))
         if move is None:
@@ -117,7 +118,7 @@
             yield from self._load(move, engine, scope, unloaded, now_ms)
             return
         for key in move.keys:
-            yield from self._consolidation.give_up(
+            yield from self._consolidation.retire(
                 service, groups[key], f"{move.served.name} is busier", now_ms)
         self._end(service, place, now_ms)
 
@@ -171,21 +172,21 @@
               open_groups: dict[str, list[fleetview.Group]],
               place: str) -> _Plan | None:
 
-        def fullness(served: model.ServedModel, more: int = 0) -> float:
+        def utilisation(served: model.ServedModel, more: int = 0) -> float:
             count = len(open_groups[served.name]) + more
             requests = self._demand.requests(service, served.name)
             return requests / (count * engine.slots) if count > 0 else math.inf
 
-        ranked = sorted(engine.models, key=fullness)
+        ranked = sorted(engine.models, key=utilisation)
         idle, busy = ranked[0], ranked[-1]
-        if fullness(busy) < BUSY_PART or idle is busy or (
+        if utilisation(busy) < BUSY_PART or idle is busy or (
                 not open_groups[busy.name]):
             return None
         given = math.ceil(busy.size / idle.size)
         made = given * idle.size // busy.size
         turn = _turn(open_groups[idle.name], given, scope, place)
-        after = fullness(idle, -turn * given)
-        if after * MARGIN > fullness(busy, turn * made):
+        after = utilisation(idle, -turn * given)
+        if after * MARGIN > utilisation(busy, turn * made):
             return None
         return _Plan(idle, busy, given)
 
--- a/cardamommill/gateway/reconciliation.py
+++ b/cardamommill/gateway/reconciliation.py
@@ -66,7 +66,7 @@
     def _keep_up(self, group: fleetview.Group, service: str,
                  engine: model.Engine, scope: planning.Scope,
                  now_ms: float) -> Iterator[planning.Action]:
-        if not is_ours(group, scope):
+        if not is_in_scope(group, scope):
             return
         served = engine.model(group.model)
         members = list(group.members.values())
@@ -78,7 +78,7 @@
         if reason:
             yield from self._formations.leave(group.key, members, reason)
             return
-        if served is None or self._consolidation.has(group.key):
+        if served is None or self._consolidation.is_retiring(group.key):
             return
         complete = len(group.members) == served.size
         if complete and not group.is_open:
@@ -183,7 +183,7 @@
             yield planning.Probe(runner, reason)
 
 
-def is_ours(group: fleetview.Group, scope: planning.Scope) -> bool:
+def is_in_scope(group: fleetview.Group, scope: planning.Scope) -> bool:
     """Whether the planner of these data centres plans for a group."""
     # The lowest rank decides, so that a group over two data centres has one
     # planner.
--- a/cardamommill/gateway/spares.py
+++ b/cardamommill/gateway/spares.py
@@ -21,7 +21,7 @@
     """Free runners and what is staged on their hosts."""
 
     def __init__(self, view: fleetview.FleetView,
-                 ledger: loads.LoadLedger) -> None:
+                 ledger: loads.LoadRateLimiter) -> None:
         self._view = view
         self._ledger = ledger
         self._staging: dict[str, tuple[str, float]] = {}
@@ -31,13 +31,13 @@
         """Whether its host is loading."""
         return runner in self._staging
 
-    def give_up(self, runner: str, now_ms: float) -> None:
+    def load_refused(self, runner: str, now_ms: float) -> None:
         """Notes that an order to load was refused."""
         self._staging.pop(runner, None)
         self._refused_ms[runner] = now_ms
 
     def stage(self, engine: model.Engine, scope: planning.Scope,
-              free: list[fleetview.RunnerRecord], need: overload.Need,
+              free: list[fleetview.RunnerRecord], need: overload.CapacityState,
               now_ms: float) -> Iterator[planning.Action]:
         """Returns orders to load for the free runners of one domain.
 
@@ -66,7 +66,7 @@
             if before in held:
                 held[before] -= 1
             held[served.name] += 1
-            need.moves(before, served.name)
+            need.reassign(before, served.name)
             self._staging[known.runner.id] = (served.name,
                                               now_ms + 2 * served.load_ms)
             self._ledger.note(1, now_ms)
@@ -78,7 +78,7 @@
 
     def _idle(self, engine: model.Engine, free: list[fleetview.RunnerRecord],
               held: dict[str, int],
-              need: overload.Need) -> list[fleetview.RunnerRecord]:
+              need: overload.CapacityState) -> list[fleetview.RunnerRecord]:
         """Returns runners whose host may load something else, blank ones first.
 
         One that holds a model may load a busier one that lacks few to a group,
@@ -91,7 +91,9 @@
         sizes = {each.name: each.size for each in engine.models}
         stuck = len(free) >= min(sizes.values()) and all(
             count < sizes[name] for name, count in held.items())
-        first = [each.name for each in engine.models if need.comes_first(each)]
+        first = [
+            each.name for each in engine.models if need.has_load_priority(each)
+        ]
         if blank or any(each.runner.id in self._staging for each in free):
             return blank
         for served in engine.models:
@@ -107,13 +109,13 @@
 
     def _lent(self, served: model.ServedModel,
               free: list[fleetview.RunnerRecord], held: dict[str, int],
-              need: overload.Need) -> list[fleetview.RunnerRecord]:
+              need: overload.CapacityState) -> list[fleetview.RunnerRecord]:
         """Returns spares of idler models that would make a group, or a spare.
 
         Each model that has any keeps one.
         """
         missing = served.size - held[served.name] if held[served.name] else 1
-        if missing <= 0 or not need.holds.get(served.name):
+        if missing <= 0 or not need.runner_counts.get(served.name):
             return []
         kept = {name for name, count in held.items() if count}
         found = []
@@ -128,7 +130,7 @@
         return found[:missing] if len(found) >= missing else []
 
     def _wanted(self, engine: model.Engine, held: dict[str, int], free: int,
-                need: overload.Need) -> model.ServedModel:
+                need: overload.CapacityState) -> model.ServedModel:
         # A model whose requests wait comes first: by the fewest runners alone
         # the smaller one got most loads of a day, while it had eight groups
         # and the larger one four. Then what lacks the fewest runners to a whole
@@ -137,7 +139,7 @@
             count = held[served.name]
             missing = served.size - count
             reachable = 0 < missing < served.size and free >= served.size
-            return (not need.comes_first(served),
+            return (not need.has_load_priority(served),
                     missing if reachable else math.inf,
                     count / max(served.share, 1e-6))
 
@@ -151,7 +153,7 @@
             return known.status.staged[-1]
         return known.last_model
 
-    def forget_staged(self, now_ms: float) -> None:
+    def prune_staging(self, now_ms: float) -> None:
         """Forgets orders to load that are done, or were lost."""
         for runner_id, (name, until_ms) in list(self._staging.items()):
             known = self._view.known.get(runner_id)
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -44,7 +44,7 @@
         self.dead = set()
         self._view = view
 
-    async def ask(self, runner, reason):
+    async def probe(self, runner, reason):
         del reason
         self.asked.append(runner)
         if runner in self.dead:
@@ -67,7 +67,7 @@
     """The alarms of one node that sees one group of four.
 
     Attributes:
-        keeper: Counts questions to members.
+        group_controller: Counts questions to members.
         relay: A request at the group.
         spoken: How often all peers were told.
     """
@@ -79,7 +79,7 @@
             for member in members(key, 4 + 4 * number, "b", domains[number])
         ]
         self.view = builders.view(*members(KEY, 0), *elsewhere)
-        self.keeper = Keeper(self.view)
+        self.group_controller = Keeper(self.view)
         self.relay = Relay()
         self.spoken = 0
         self.requests = types.SimpleNamespace(
@@ -87,8 +87,8 @@
             standing=standing.StandingGroups(self.view),
             relays_at=lambda key: [self.relay])
         self.alarms = alarms.Alarms(
-            self.view, self.requests, self.keeper, metrics.Metrics(), 6000.0,
-            lambda key: plans, self._speak,
+            self.view, self.requests, self.group_controller, metrics.Metrics(),
+            6000.0, lambda key: plans, self._speak,
             lambda work: asyncio.get_running_loop().create_task(work))
 
     def _speak(self):
@@ -130,7 +130,7 @@
 
 def test_first_to_find_a_group_silent_asks_and_tells():
     bench = play(lambda bench: bench.fall_silent())
-    assert len(bench.keeper.asked) == 4
+    assert len(bench.group_controller.asked) == 4
     assert bench.spoken == 1
 
 
@@ -147,7 +147,7 @@
         bench.fall_silent()
 
     bench = play(script)
-    assert not bench.keeper.asked
+    assert not bench.group_controller.asked
     assert not bench.spoken
 
 
@@ -156,8 +156,8 @@
     def script(bench):
         bench.alarms.refused(KEY, "runner said 503")
 
-    assert not play(script).keeper.asked
-    assert len(play(script, plans=True).keeper.asked) == 4
+    assert not play(script).group_controller.asked
+    assert len(play(script, plans=True).group_controller.asked) == 4
 
 
 def test_silent_group_whose_members_answer_keeps_its_requests():
@@ -168,14 +168,14 @@
     the next group would fall silent.
     """
     bench = play(lambda bench: bench.fall_silent())
-    assert bench.keeper.asked and not bench.relay.reasons
+    assert bench.group_controller.asked and not bench.relay.reasons
     assert not bench.is_avoided()
 
 
 def test_requests_leave_a_group_with_a_member_that_does_not_answer():
 
     def script(bench):
-        bench.keeper.dead = {"i-2"}
+        bench.group_controller.dead = {"i-2"}
         bench.fall_silent()
 
     bench = play(script)
@@ -198,13 +198,13 @@
     """
 
     def script(bench):
-        bench.keeper.dead = {f"i-{number}" for number in range(4, 16)}
+        bench.group_controller.dead = {f"i-{number}" for number in range(4, 16)}
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
     bench = play(script)
     assert bench.is_avoided(FOURTH)
-    assert "i-0" not in bench.keeper.asked
+    assert "i-0" not in bench.group_controller.asked
 
 
 @pytest.mark.parametrize("domains,is_asked", [
@@ -220,12 +220,12 @@
     """
 
     def script(bench):
-        bench.keeper.dead = {f"i-{number}" for number in range(4, 16)}
+        bench.group_controller.dead = {f"i-{number}" for number in range(4, 16)}
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
     bench = play(script, domains=domains)
-    assert ("i-12" in bench.keeper.asked) is is_asked
+    assert ("i-12" in bench.group_controller.asked) is is_asked
     assert bench.is_avoided(FOURTH) is is_asked
 
 
@@ -258,12 +258,12 @@
     """Asked by the peer a moment ago, 31 of 32 members have answered it."""
 
     def script(bench):
-        bench.keeper.dead = {"i-2"}
+        bench.group_controller.dead = {"i-2"}
         bench.alarms.hear(peermessage.Alarm(KEY, 10.0, True, ("i-2",)), "n2",
                           clock.now_ms())
 
     bench = play(script, plans=True)
-    assert bench.keeper.asked == ["i-2"]
+    assert bench.group_controller.asked == ["i-2"]
     assert bench.view.known["i-2"].down_ms
     (told,) = bench.news
     assert told.silent == ("i-2",)
@@ -283,7 +283,7 @@
         bench.alarms.ask_again(clock.now_ms(), "b")
 
     bench = play(script)
-    assert sorted(bench.keeper.asked) == sorted(
+    assert sorted(bench.group_controller.asked) == sorted(
         f"i-{number}" for number in range(4, 16))
 
 
@@ -294,10 +294,10 @@
         now_ms = clock.now_ms()
         bench.view.record_no_answer("i-0", now_ms)
         bench.alarms.ask_again(now_ms + 1000)
-        assert not bench.keeper.asked
+        assert not bench.group_controller.asked
         bench.alarms.ask_again(now_ms + 3100)
 
-    assert play(script).keeper.asked == ["i-0"]
+    assert play(script).group_controller.asked == ["i-0"]
 
 
 def test_dead_groups_are_asked_and_told_of_once():
@@ -309,7 +309,7 @@
     """
 
     def script(bench):
-        bench.keeper.dead = {f"i-{number}" for number in range(4, 12)}
+        bench.group_controller.dead = {f"i-{number}" for number in range(4, 12)}
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
@@ -332,7 +332,7 @@
     """
 
     def script(bench):
-        bench.keeper.dead = {"i-0"}
+        bench.group_controller.dead = {"i-0"}
         bench.alarms.hear(peermessage.Alarm(OTHER, 10.0, False), "n2",
                           clock.now_ms())
         bench.fall_silent()
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -137,12 +137,13 @@
     With one time for both the second had no time between its looks, and was
     never found overloaded however long its callers waited.
     """
-    seen = overload.Overload()
+    seen = overload.OverloadDetector()
     other = dataclasses.replace(builders.LARGE, name="other")
     scope = planning.Scope(frozenset({"a"}), 1, False, {})
     for now_ms in range(0, 2000, 100):
-        seen.see("first", builders.engine(), {}, scope, now_ms)
-        seen.see("second", builders.engine(models=(other,)), {}, scope, now_ms)
+        seen.observe("first", builders.engine(), {}, scope, now_ms)
+        seen.observe("second", builders.engine(models=(other,)), {}, scope,
+                     now_ms)
     assert seen.is_overloaded("large")
     assert seen.is_overloaded("other")
 
--- a/tests/gateway/test_planner.py
+++ b/tests/gateway/test_planner.py
@@ -72,7 +72,7 @@
     for order in planners.ordered(actions, orders.Operation.LEAVE):
         bench.accept(order)
     assert not planners.ordered(bench.step(), orders.Operation.JOIN)
-    bench.planner.settled(joins[0])
+    bench.planner.rechecked(joins[0])
     assert len(planners.ordered(bench.step(), orders.Operation.JOIN)) == 4
 
 
@@ -114,9 +114,9 @@
     order = joins[0]
     for _ in range(times):
         bench.planner.sent(order.runner)
-        bench.planner.refused(order, "unknown", bench.now_ms, may_repeat=True)
+        bench.planner.refused(order, "unknown", bench.now_ms, may_retry=True)
         assert not planners.ordered(bench.step(), orders.Operation.JOIN)
-        bench.planner.settled(order)
+        bench.planner.rechecked(order)
         again = planners.ordered(bench.step(), orders.Operation.JOIN)
         if not again:
             return bench, None
@@ -146,16 +146,16 @@
     for order in joins[1:]:
         bench.accept(order, planners.STATE.READY)
     bench.planner.sent(joins[0].runner)
-    bench.planner.refused(joins[0], "unknown", bench.now_ms, may_repeat=True)
+    bench.planner.refused(joins[0], "unknown", bench.now_ms, may_retry=True)
     bench.become(joins[0], planners.STATE.READY)
-    bench.planner.settled(joins[0])
+    bench.planner.rechecked(joins[0])
     actions = bench.step()
     assert not planners.ordered(actions, orders.Operation.JOIN)
     assert planners.ordered(actions, orders.Operation.OPEN)
 
 
 def test_group_is_given_up_for_a_member_that_never_answers():
-    bench, order = begun_with_one_unanswered(formations.JOIN_TRIES)
+    bench, order = begun_with_one_unanswered(formations.MAX_JOIN_ATTEMPTS)
     assert order is None
     assert not [
         each for each in bench.planner.formations.values()
--- a/tests/gateway/test_planner_machine.py
+++ b/tests/gateway/test_planner_machine.py
@@ -133,11 +133,11 @@
             self.planners[which].refused(order,
                                          "no",
                                          self.now_ms,
-                                         may_repeat=status in (0, 409) or
+                                         may_retry=status in (0, 409) or
                                          fate == "unanswered")
             self.now_ms += 230
             self.report(which, order.runner)
-            self.planners[which].settled(order)
+            self.planners[which].rechecked(order)
             return
         known = view.known[order.runner]
         left = order.operation is orders.Operation.LEAVE
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -100,7 +100,7 @@
     first = ordered(made.step(1000.0), orders.Operation.STAGE)[0]
     made.planner.sent(first.runner)
     made.planner.refused(first, "busy", made.now_ms)
-    made.planner.settled(first)
+    made.planner.rechecked(first)
     again = [
         each.runner
         for _ in range(6)
@@ -170,12 +170,12 @@
 
 
 def test_shares_follow_the_work_but_not_below_half_of_what_is_declared():
-    seen = demand.Demand()
+    seen = demand.DemandEstimator()
     view = builders.view(*runners())
     engine = builders.engine()
     for second in range(6):
-        seen.see("llm", engine, view.groups("llm"), scope(0, 12),
-                 1000.0 * second)
+        seen.observe("llm", engine, view.groups("llm"), scope(0, 12),
+                     1000.0 * second)
     shares = {
         each.name: each.share
         for each in seen.engine("llm", engine, 6000.0).models
@@ -187,17 +187,17 @@
 
 
 def test_model_that_lost_all_its_groups_keeps_what_was_seen_of_it():
-    seen = demand.Demand()
+    seen = demand.DemandEstimator()
     engine = builders.engine()
     view = builders.view(*runners())
     for second in range(6):
-        seen.see("llm", engine, view.groups("llm"), scope(4, 4),
-                 1000.0 * second)
+        seen.observe("llm", engine, view.groups("llm"), scope(4, 4),
+                     1000.0 * second)
     only_small = {
         key: each for key, each in view.groups("llm").items() if key in SMALLS
     }
     for second in range(6, 20):
-        seen.see("llm", engine, only_small, scope(4, 4), 1000.0 * second)
+        seen.observe("llm", engine, only_small, scope(4, 4), 1000.0 * second)
     assert seen.requests("llm", "large") > 10
 
 
@@ -215,11 +215,11 @@
 
 
 def test_shares_are_those_of_the_work_where_none_are_declared():
-    seen = demand.Demand()
+    seen = demand.DemandEstimator()
     engine = builders.engine(models=undeclared())
     groups = builders.view(*runners()).groups("llm")
     for second in range(6):
-        seen.see("llm", engine, groups, scope(3, 12), 1000.0 * second)
+        seen.observe("llm", engine, groups, scope(3, 12), 1000.0 * second)
     shares = {
         each.name: each.share
         for each in seen.engine("llm", engine, 6000.0).models
--- a/tests/gateway/test_spares.py
+++ b/tests/gateway/test_spares.py
@@ -114,7 +114,7 @@
     (order,) = planners.ordered(bench.step(), orders.Operation.STAGE)
     bench.planner.sent(order.runner)
     bench.planner.refused(order, "unfit", bench.now_ms)
-    bench.planner.settled(order)
+    bench.planner.rechecked(order)
     assert not planners.ordered(bench.step(250), orders.Operation.STAGE)
     assert planners.ordered(bench.step(2500), orders.Operation.STAGE)
 
