--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -20,9 +20,9 @@
 # Own questions to the members of one group after alarms.
 PROBE_AGAIN_MS = 400.0
 # News that others need is told for this long, since datagrams get lost.
-NEWS_MS = 700.0
+ANNOUNCE_MS = 700.0
 # Nothing that is this old is of any use here.
-FORGET_MS = 10 * NEWS_MS
+FORGET_MS = 10 * ANNOUNCE_MS
 # Runners of a data centre that is heard again are asked, but not twice for the
 # return of two nodes.
 BACK_ASK_MS = 250.0
@@ -96,15 +96,15 @@
         # The last group of each data centre that was found down.
         self._place_down: dict[str, _Down] = {}
 
-    def news(self, now_ms: float) -> tuple[peermessage.Alarm, ...]:
+    def updates_for_peers(self, now_ms: float) -> tuple[peermessage.Alarm, ...]:
         """Returns what other nodes should hear."""
         return tuple(
             peermessage.Alarm(key, now_ms -
                               told.at_ms, told.confirmed, told.silent)
             for key, told in self._alarms.items()
-            if now_ms - told.at_ms < NEWS_MS)
+            if now_ms - told.at_ms < ANNOUNCE_MS)
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets old alarms."""
         clock.forget_old(self._alarms, lambda told: told.at_ms, FORGET_MS,
                          now_ms)
@@ -112,7 +112,7 @@
         clock.forget_old(self._asked_by_peer_ms, float, FORGET_MS, now_ms)
         clock.forget_old(self._asked_again_ms, float, FORGET_MS, now_ms)
 
-    def look(self, now_ms: float) -> None:
+    def check_groups(self, now_ms: float) -> None:
         """Finds groups that have newly fallen silent, or stand still."""
         for key in self._requests.silence.silent(now_ms):
             self._suspect(key, now_ms)
@@ -122,7 +122,7 @@
                           now_ms + standing.STALLED_MS,
                           is_dead=False)
 
-    def ask_again(self, now_ms: float, data_centre: str = "") -> None:
+    def probe_down_runners(self, now_ms: float, data_centre: str = "") -> None:
         """Asks runners that did not answer and that the list still names.
 
         A dead one has left the list by then. Believed down until a planner of
@@ -273,24 +273,24 @@
                     where = "domain" if shared else place
                     self.probe(each, f"{where} may be cut off")
 
-    def hear(self,
-             alarm: peermessage.Alarm,
-             peer: str,
-             now_ms: float,
-             is_far: bool = False) -> bool:
+    def receive(self,
+                alarm: peermessage.Alarm,
+                peer: str,
+                now_ms: float,
+                is_remote: bool = False) -> bool:
         """Takes the alarm of another node; True where it is heeded as news.
 
         Args:
             alarm: What it told.
             peer: Its name.
             now_ms: The time.
-            is_far: Whether it stands in another data centre: only a few nodes
-                here hear it, and these pass it on.
+            is_remote: Whether it stands in another data centre: only a few
+                nodes here hear it, and these pass it on.
         """
         since_ms = now_ms - alarm.age_ms
         is_news = (self._hear_confirmed(alarm, peer, since_ms, now_ms)
                    if alarm.confirmed else self._hear_question(alarm, since_ms))
-        if is_news and is_far:
+        if is_news and is_remote:
             self._alarms[alarm.key] = _Told(since_ms, alarm.confirmed,
                                             alarm.silent)
         return is_news
--- a/cardamommill/gateway/backpressure.py
+++ b/cardamommill/gateway/backpressure.py
@@ -68,8 +68,8 @@
                       limit_per_s=per_s,
                       repeat=repeat))
 
-    def take_head(self, request: str, runner: str, head: upstream.Head,
-                  sent_ms: float) -> None:
+    def receive_head(self, request: str, runner: str, head: upstream.Head,
+                     sent_ms: float) -> None:
         """Takes the head of an answer.
 
         Args:
@@ -112,22 +112,23 @@
                       rest_ms=int(rest_ms),
                       request=request))
 
-    def hear(self, message: peermessage.PeerMessage, now_ms: float) -> None:
+    def receive(self, message: peermessage.PeerMessage, now_ms: float) -> None:
         """Takes what a peer tells of runners."""
-        for each in self._rate_limits.hear(message.limits, message.sent_ms,
-                                           now_ms):
+        for each in self._rate_limits.receive(message.limits, message.sent_ms,
+                                              now_ms):
             _log_limit(each.runner,
                        each.per_s,
                        peer=message.node,
                        age_ms=int(now_ms - each.as_of_ms))
 
-    def news(self, now_ms: float) -> tuple[ratelimits.RateLimit, ...]:
+    def updates_for_peers(self,
+                          now_ms: float) -> tuple[ratelimits.RateLimit, ...]:
         """Returns what other nodes should hear of runners."""
-        return self._rate_limits.news(now_ms)
+        return self._rate_limits.updates_for_peers(now_ms)
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
-        self._rate_limits.forget(now_ms)
+        self._rate_limits.drop_expired(now_ms)
         clock.forget_old(self._rests_until_ms, float, 0.0, now_ms)
 
 
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -20,6 +20,7 @@
     forwarding,
     freshness,
     grouploads,
+    loadsums,
     model,
     peers,
     placing,
@@ -28,7 +29,6 @@
     ratelimits,
     relay,
     reliability,
-    reporting,
     requestlog,
     retrybudget,
     routetable,
@@ -79,7 +79,8 @@
                                                         settings.data_centre,
                                                         self._chance)
         self.backpressure = backpressure.Backpressure(
-            view, ratelimits.RateLimits(settings.node, others.living), figures)
+            view, ratelimits.RateLimits(settings.node, others.live_nodes),
+            figures)
         # Requests whose try has brought nothing yet, and since when.
         self._unproven_ms: dict[relay.Relay, float] = {}
         # Who looks into a group that failed a request.
@@ -98,7 +99,7 @@
         """Returns this node's requests at a group."""
         return list(self._relays.get(key, ()))
 
-    def look_at_peers(self, far_load: reporting.Loads, now_ms: float) -> None:
+    def look_at_peers(self, far_load: loadsums.Loads, now_ms: float) -> None:
         """Takes what peers told last of their load, and tells of doubts.
 
         Args:
@@ -108,8 +109,8 @@
         """
         self._group_loads.hear(self._peers.in_flight(now_ms), far_load,
                                self._peers.load_age_ms())
-        for runner, odds in self.reliability.turned(now_ms):
-            is_doubted = odds > reliability.DOUBTED
+        for runner, odds in self.reliability.doubt_changes(now_ms):
+            is_doubted = odds > reliability.DOUBT_THRESHOLD
             _LOG.warning(
                 logs.line("runner-doubted" if is_doubted else "runner-trusted",
                           runner=runner,
@@ -126,11 +127,11 @@
             for key in self._view.groups(service)
         }
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets old faults."""
-        self._plain_runners.forget(now_ms)
-        self.reliability.forget(now_ms)
-        self.backpressure.forget(now_ms)
+        self._plain_runners.drop_expired(now_ms)
+        self.reliability.drop_expired(now_ms)
+        self.backpressure.drop_expired(now_ms)
 
     def table(self) -> routetable.RouteTable | None:
         """Returns the configuration in force."""
@@ -152,7 +153,7 @@
                                           < OWN_CONFIRMATION_MS):
             return
         version = self._reader.table.configuration.version
-        as_of_ms = self._peers.confirmed_ms(version)
+        as_of_ms = self._peers.config_confirmed_ms(version)
         self._freshness.confirm(min(as_of_ms, now_ms))
 
     def find_target(self, one: relay.Relay) -> relay.Target | placing.Refused:
@@ -204,11 +205,13 @@
                         engine.far_factor if each.is_far else 1.0),
                     away=(each.head.runner.data_centre
                           != self._settings.data_centre),
-                    avoided=(each.retiring or odds > reliability.DOUBTED or
+                    avoided=(each.retiring or
+                             odds > reliability.DOUBT_THRESHOLD or
                              self.standing.is_avoided(each.key, now_ms)),
                     reading_tokens=load.unread_tokens,
                     fail_odds=odds,
-                    rests=self.reliability.rests(head, now_ms),
+                    is_cooling_down=self.reliability.is_cooling_down(
+                        head, now_ms),
                     wait_ms=self.backpressure.wait_ms(each.head.runner, now_ms),
                     connected=self.pool.has_idle(
                         (each.head.runner.host, each.head.runner.port))))
@@ -277,15 +280,15 @@
     def head_came(self, one: relay.Relay, target: relay.Target,
                   head: upstream.Head, sent_ms: float) -> None:
         """Takes what a runner asks of its callers in an answer."""
-        self.backpressure.take_head(one.attempt_id, target.known.runner.id,
-                                    head, sent_ms)
+        self.backpressure.receive_head(one.attempt_id, target.known.runner.id,
+                                       head, sent_ms)
 
     def event_came(self, one: relay.Relay, target: relay.Target) -> None:
         """Notes an event of a stream."""
         now_ms = clock.now_ms()
         sent_ms = self._unproven_ms.pop(one, None)
         if sent_ms is not None:
-            self.reliability.went_well(target.known.runner.id, now_ms)
+            self.reliability.succeeded(target.known.runner.id, now_ms)
             self._note_first_event(one, target, now_ms - sent_ms)
         if target.key is None:
             return
@@ -323,7 +326,7 @@
         sent_ms = self._unproven_ms.pop(one, None)
         if outcome.result in _FINE:
             if outcome.result in _WELL and sent_ms is not None:
-                self.reliability.went_well(runner, now_ms)
+                self.reliability.succeeded(runner, now_ms)
             return
         if sent_ms is not None and self._is_to_blame(one, target, outcome,
                                                      now_ms - sent_ms):
--- a/cardamommill/gateway/election.py
+++ b/cardamommill/gateway/election.py
@@ -40,7 +40,7 @@
             alive: What the living other nodes told last.
             now_ms: The time.
         """
-        planners = [each for each in alive if each.plans_ms]
+        planners = [each for each in alive if each.planning_age_ms]
         for data_centre in data_centres:
             if self._wins(data_centre, alive, planners, now_ms):
                 self._since_ms.setdefault(data_centre, now_ms)
@@ -50,9 +50,9 @@
     def _wins(self, data_centre: str, alive: list[peermessage.PeerMessage],
               planners: list[peermessage.PeerMessage], now_ms: float) -> bool:
         since_ms = self._since_ms.get(data_centre)
-        others = [(each.plans_ms[data_centre], each.node)
+        others = [(each.planning_age_ms[data_centre], each.node)
                   for each in planners
-                  if data_centre in each.plans_ms]
+                  if data_centre in each.planning_age_ms]
         if since_ms is not None:
             # The longest plans on; of two that began together, the lowest.
             age_ms = now_ms - since_ms
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -20,6 +20,7 @@
     freshness,
     groupcontroller,
     holding,
+    loadsums,
     model,
     nodelink,
     openedgroups,
@@ -31,7 +32,6 @@
     questions,
     relay,
     replies,
-    reporting,
     routetable,
     settingsfile,
     sourceselector,
@@ -76,7 +76,7 @@
         self._peers = peers.Peers(settings.node, settings.data_centre,
                                   self._incarnation,
                                   (settings.ip, settings.peer_port), now_ms)
-        self._far_loads = reporting.FarLoads()
+        self._far_loads = loadsums.RemoteLoads()
         self._requests_seen = False
         self._stopping_ms = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -153,7 +153,7 @@
         with self.pool:
             try:
                 await self._listen()
-                self.spawn(self._link.find_nodes(self._store))
+                self.spawn(self._link.discover_nodes(self._store))
                 self.spawn(self._tick())
                 self.spawn(self._follow())
                 await self._done.wait()
@@ -163,7 +163,7 @@
         _LOG.info(logs.line("stop", busy=self._server.busy))
 
     async def _follow(self) -> None:
-        await self._link.first_contact()
+        await self._link.wait_for_peers()
         self.spawn(self._reader.follow_configuration())
         self.spawn(self._reader.follow_list())
 
@@ -232,30 +232,33 @@
                     now_ms: float) -> None:
         if self._reader.should_catch_up(message.config_version):
             self.spawn(self._reader.catch_up())
-        is_far = message.data_centre != self._settings.data_centre
-        if message.sums is not None:
-            self._far_loads.hear(message.sums,
-                                 message.data_centre if is_far else None,
-                                 now_ms)
+        is_remote = message.data_centre != self._settings.data_centre
+        if message.load_sums is not None:
+            self._far_loads.receive(message.load_sums,
+                                    message.data_centre if is_remote else None,
+                                    now_ms)
         is_news = False
-        for opened in message.opened:
-            is_news |= self._opened.hear(opened, message.node, is_far, now_ms)
+        for opened in message.opened_groups:
+            is_news |= self._opened.receive(opened, message.node, is_remote,
+                                            now_ms)
         for alarm in message.alarms:
-            is_news |= self._alarms.hear(alarm, message.node, now_ms, is_far)
-        self._requests.reliability.hear(message.tries, message.node, now_ms)
-        self._requests.backpressure.hear(message, now_ms)
-        if is_far and is_news:
+            is_news |= self._alarms.receive(alarm, message.node, now_ms,
+                                            is_remote)
+        self._requests.reliability.receive(message.attempt_histories,
+                                           message.node, now_ms)
+        self._requests.backpressure.receive(message, now_ms)
+        if is_remote and is_news:
             # Only reporters of this data centre are told of it at once.
-            self._link.tell_news(now_ms, far=False)
+            self._link.send_now(now_ms, far=False)
 
     def _on_return(self, data_centre: str) -> None:
-        self._alarms.ask_again(clock.now_ms(), data_centre)
+        self._alarms.probe_down_runners(clock.now_ms(), data_centre)
 
     def _compose(self, now_ms: float,
-                 audience: peers.Audience) -> peermessage.PeerMessage:
+                 update_scope: peers.UpdateScope) -> peermessage.PeerMessage:
         table = self._reader.table
-        is_near = audience is peers.Audience.NEAR
-        is_far = audience is peers.Audience.FAR
+        is_near = update_scope is peers.UpdateScope.NEAR
+        is_remote = update_scope is peers.UpdateScope.FAR
         reliability = self._requests.reliability
         return peermessage.PeerMessage(
             node=self._settings.node,
@@ -265,30 +268,32 @@
             echo_ms=0.0,
             interval_ms=0.0,
             config_version=table.configuration.version if table else 0,
-            confirmed_age_ms=self._freshness.age_ms(now_ms),
+            config_confirmed_age_ms=self._freshness.age_ms(now_ms),
             in_flight=self._requests.flights.loads() if is_near else {},
-            alarms=self._alarms.news(now_ms),
-            opened=self._opened.news(now_ms),
-            tries=reliability.news(now_ms) if is_near else (),
-            requests_seen=self._requests_seen,
+            alarms=self._alarms.updates_for_peers(now_ms),
+            opened_groups=self._opened.updates_for_peers(now_ms),
+            attempt_histories=reliability.updates_for_peers(now_ms)
+            if is_near else (),
+            has_seen_requests=self._requests_seen,
             stopping=bool(self._stopping_ms),
-            plans_ms=self._peers.plans_ms(now_ms),
-            sums=self._sums(now_ms, audience),
-            store_lost=self._reader.has_lost_store(now_ms),
-            limits=() if is_far else self._requests.backpressure.news(now_ms))
+            planning_age_ms=self._peers.planning_age_ms(now_ms),
+            load_sums=self._sums(now_ms, update_scope),
+            has_lost_store=self._reader.has_lost_store(now_ms),
+            limits=() if is_remote else
+            self._requests.backpressure.updates_for_peers(now_ms))
 
     def _sums(self, now_ms: float,
-              audience: peers.Audience) -> reporting.Sums | None:
-        if not self._peers.is_reporter or audience is peers.Audience.FAR:
+              update_scope: peers.UpdateScope) -> loadsums.LoadSums | None:
+        if not self._peers.is_reporter or update_scope is peers.UpdateScope.FAR:
             return None
-        if audience is peers.Audience.NEAR:
-            return self._far_loads.to_pass_on(now_ms)
-        own = reporting.marked(self._requests.flights.loads())
-        return reporting.Sums(0.0,
-                              reporting.added((own, self._peers.near_loads())))
+        if update_scope is peers.UpdateScope.NEAR:
+            return self._far_loads.sums_to_relay(now_ms)
+        own = loadsums.loads_by_short_id(self._requests.flights.loads())
+        return loadsums.LoadSums(
+            0.0, loadsums.sum_loads((own, self._peers.near_loads())))
 
     def _speak_at_once(self) -> None:
-        self._link.tell_news(clock.now_ms(), far=True)
+        self._link.send_now(clock.now_ms(), far=True)
 
     def _plans_for(self, key: model.GroupKey) -> bool:
         ours = self._peers.planned_data_centres(self._settings.data_centres,
@@ -310,8 +315,8 @@
 
     def _tick_once(self, now_ms: float) -> None:
         self._ticks += 1
-        self._alarms.look(now_ms)
-        self._link.speak(now_ms)
+        self._alarms.check_groups(now_ms)
+        self._link.send_due(now_ms)
         if self._ticks % PLAN_EVERY_TICKS == 0:
             self._requests.look_at_peers(self._far_loads.loads(now_ms), now_ms)
             self._plan(now_ms)
@@ -322,10 +327,10 @@
             self.pool.trim()
             if self._settings_file.has_changed:
                 self._reload("the file changed")
-            self._alarms.forget(now_ms)
-            self._alarms.ask_again(now_ms)
-            self._requests.forget(now_ms)
-            self._opened.forget(now_ms)
+            self._alarms.drop_expired(now_ms)
+            self._alarms.probe_down_runners(now_ms)
+            self._requests.drop_expired(now_ms)
+            self._opened.drop_expired(now_ms)
             self._peers.choose_reporters(now_ms)
         if self._stopping_ms:
             self._maybe_end(now_ms)
@@ -390,4 +395,4 @@
         self._settings = changed
         self._freshness.revoke_ms = changed.bounds.revoke_ms
         self._requests.reload(changed)
-        self._link.learn_seeds(changed)
+        self._link.add_seeds(changed)
--- a/cardamommill/gateway/grouploads.py
+++ b/cardamommill/gateway/grouploads.py
@@ -1,6 +1,6 @@
 """What is at each group: own requests, and what other nodes told of theirs."""
 
-from cardamommill.gateway import flights, model, reporting
+from cardamommill.gateway import flights, loadsums, model
 
 
 class GroupLoads:
@@ -15,10 +15,10 @@
         self.own = flights.Flights()
         self.age_ms = 0.0
         self._near: dict[model.GroupKey, flights.GroupLoad] = {}
-        self._far: reporting.Loads = {}
+        self._far: loadsums.Loads = {}
 
     def hear(self, near: dict[model.GroupKey, flights.GroupLoad],
-             far: reporting.Loads, age_ms: float) -> None:
+             far: loadsums.Loads, age_ms: float) -> None:
         """Takes what other nodes told last.
 
         Args:
--- a/cardamommill/gateway/reporting.py
+++ b/cardamommill/gateway/loadsums.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sums:
+class LoadSums:
     """Sums of loads, by the short id of the group.
 
     Attributes:
@@ -33,7 +33,7 @@
     loads: Loads
 
 
-def added(parts: Iterable[Loads]) -> Loads:
+def sum_loads(parts: Iterable[Loads]) -> Loads:
     """Returns the sum of each group."""
     found: Loads = {}
     for part in parts:
@@ -42,12 +42,12 @@
     return found
 
 
-def marked(loads: dict[model.GroupKey, flights.GroupLoad]) -> Loads:
+def loads_by_short_id(loads: dict[model.GroupKey, flights.GroupLoad]) -> Loads:
     """Returns loads by the marks of their groups."""
     return {key.short_id: load for key, load in loads.items()}
 
 
-class FarLoads:
+class RemoteLoads:
     """Sums of other data centres, as one node hears them."""
 
     def __init__(self) -> None:
@@ -59,22 +59,23 @@
         # Of all other data centres, from a reporter of this one.
         self._passed_on: tuple[float, Loads] = (float("-inf"), {})
 
-    def hear(self, sums: Sums, data_centre: str | None, now_ms: float) -> None:
+    def receive(self, load_sums: LoadSums, data_centre: str | None,
+                now_ms: float) -> None:
         """Takes sums that a peer told.
 
         Args:
-            sums: What it told.
+            load_sums: What it told.
             data_centre: The peer's, and whose sum it is; None for a peer of
                 this data centre, which tells of all others.
             now_ms: The time.
         """
-        as_of_ms = now_ms - sums.age_ms
+        as_of_ms = now_ms - load_sums.age_ms
         if data_centre is not None:
-            self._told[data_centre] = (as_of_ms, sums.loads)
+            self._told[data_centre] = (as_of_ms, load_sums.loads)
         elif as_of_ms > self._passed_on[0]:
-            self._passed_on = (as_of_ms, sums.loads)
+            self._passed_on = (as_of_ms, load_sums.loads)
 
-    def to_pass_on(self, now_ms: float) -> Sums | None:
+    def sums_to_relay(self, now_ms: float) -> LoadSums | None:
         """Returns what this node's data centre should hear of the others."""
         young = {
             place: told
@@ -86,13 +87,13 @@
         if young != self._added_of:
             # Asked for in each tick, while reports come twice a second.
             self._added_of = young
-            self._added = added(loads for _, loads in young.values())
+            self._added = sum_loads(loads for _, loads in young.values())
         oldest_ms = min(as_of_ms for as_of_ms, _ in young.values())
-        return Sums(now_ms - oldest_ms, self._added)
+        return LoadSums(now_ms - oldest_ms, self._added)
 
     def loads(self, now_ms: float) -> Loads:
         """Returns the newest that is known, without what is too old."""
-        own = self.to_pass_on(now_ms)
+        own = self.sums_to_relay(now_ms)
         if own is not None:
             return own.loads
         as_of_ms, loads = self._passed_on
--- a/cardamommill/gateway/nodelink.py
+++ b/cardamommill/gateway/nodelink.py
@@ -44,7 +44,7 @@
 
     def __init__(self, settings: entrysettings.EntrySettings,
                  others: peers.Peers,
-                 compose: Callable[[float, peers.Audience],
+                 compose: Callable[[float, peers.UpdateScope],
                                    peermessage.PeerMessage],
                  heard: Callable[[peermessage.PeerMessage, float],
                                  None], came_back: Callable[[str],
@@ -72,13 +72,13 @@
         self._udp, _ = await asyncio.get_running_loop(
         ).create_datagram_endpoint(lambda: _Datagrams(self._on_datagram),
                                    local_addr=(settings.ip, settings.peer_port))
-        self.learn_seeds(settings)
+        self.add_seeds(settings)
 
-    def learn_seeds(self, settings: entrysettings.EntrySettings) -> None:
+    def add_seeds(self, settings: entrysettings.EntrySettings) -> None:
         """Speaks to the nodes that settings name, too."""
         for seed in settings.seeds:
             host, _ = entrysettings.address(seed)
-            self._peers.learn((host, settings.peer_port))
+            self._peers.add_address((host, settings.peer_port))
 
     def _on_datagram(self, data: bytes, address: tuple[str, int]) -> None:
         now_ms = clock.now_ms()
@@ -87,7 +87,7 @@
         except exceptions.BadPeerMessage as error:
             _LOG.warning(logs.line("datagram-refused", reason=str(error)))
             return
-        if self._peers.take(message, address, now_ms):
+        if self._peers.receive(message, address, now_ms):
             _LOG.info(
                 logs.line("peer-alive",
                           peer=message.node,
@@ -95,30 +95,30 @@
             self._came_back(message.data_centre)
         self._heard(message, now_ms)
 
-    def speak(self, now_ms: float) -> None:
+    def send_due(self, now_ms: float) -> None:
         """Tells peers what is due."""
-        self._tell(self._peers.due(now_ms), now_ms)
+        self._send(self._peers.due_peers(now_ms), now_ms)
 
-    def tell_news(self, now_ms: float, far: bool) -> None:
-        """Tells news at once; see `peers.Peers.at_once`."""
-        self._tell(self._peers.at_once(now_ms, far), now_ms)
+    def send_now(self, now_ms: float, far: bool) -> None:
+        """Tells news at once; see `peers.Peers.urgent_peers`."""
+        self._send(self._peers.urgent_peers(now_ms, far), now_ms)
 
-    def _tell(self, told: list[tuple[peers.Peer, float]],
+    def _send(self, told: list[tuple[peers.Peer, float]],
               now_ms: float) -> None:
         if self._udp is None:
             return
-        bodies: dict[peers.Audience, bytes] = {}
+        bodies: dict[peers.UpdateScope, bytes] = {}
         for peer, interval_ms in told:
-            audience = self._peers.audience(peer)
-            if audience not in bodies:
-                bodies[audience] = peermessage.encode_body(
-                    self._compose(now_ms, audience))
-            echo_ms = peer.last.sent_ms if peer.last else 0.0
+            update_scope = self._peers.update_scope(peer)
+            if update_scope not in bodies:
+                bodies[update_scope] = peermessage.encode_body(
+                    self._compose(now_ms, update_scope))
+            echo_ms = peer.last_message.sent_ms if peer.last_message else 0.0
             self._udp.sendto(
-                peermessage.datagram(echo_ms, interval_ms, bodies[audience]),
-                peer.address)
+                peermessage.encode_datagram(echo_ms, interval_ms,
+                                            bodies[update_scope]), peer.address)
 
-    async def first_contact(self) -> None:
+    async def wait_for_peers(self) -> None:
         """Returns once it is known whom this node follows, or soon after.
 
         Each node that began by itself read the whole list of the fleet from
@@ -139,7 +139,7 @@
                 return
             await asyncio.sleep(CONTACT_LOOK_MS / 1000)
 
-    async def find_nodes(self, store: storecalls.Store) -> None:
+    async def discover_nodes(self, store: storecalls.Store) -> None:
         """Keeps finding nodes by the platform's table; never ends."""
         registered_era = None
         while True:
@@ -156,10 +156,10 @@
             for row in rows.rows:
                 address = (row.value.decode("ascii", "replace"),
                            self._settings.peer_port)
-                if self._peers.learn(address):
+                if self._peers.add_address(address):
                     _LOG.info(logs.line("node-found", node=row.key))
             self._has_found = True
-            others = len(self._peers.alive(clock.now_ms()))
+            others = len(self._peers.live_peers(clock.now_ms()))
             if await store.eras.wait_for_newer(registered_era,
                                                _find_again_ms(others)):
                 # All nodes write their rows again, but not at once.
@@ -176,8 +176,9 @@
 class _Datagrams(asyncio.DatagramProtocol):
     """Hands datagrams over."""
 
-    def __init__(self, take: Callable[[bytes, tuple[str, int]], None]) -> None:
-        self._take = take
+    def __init__(self, receive: Callable[[bytes, tuple[str, int]],
+                                         None]) -> None:
+        self._take = receive
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self._take(data, addr)
--- a/cardamommill/gateway/openedgroups.py
+++ b/cardamommill/gateway/openedgroups.py
@@ -5,7 +5,7 @@
 from cardamommill import logs
 from cardamommill.gateway import alarms, clock, fleetview, model, peermessage
 
-_FORGOTTEN_MS = 10 * alarms.NEWS_MS
+_FORGOTTEN_MS = 10 * alarms.ANNOUNCE_MS
 
 _LOG = logbook.Logger("entry")
 
@@ -22,14 +22,14 @@
         """Has a group told to other nodes."""
         self._opened[opened.key] = (now_ms, opened)
 
-    def hear(self, opened: peermessage.OpenedGroup, peer: str, is_far: bool,
-             now_ms: float) -> bool:
+    def receive(self, opened: peermessage.OpenedGroup, peer: str,
+                is_remote: bool, now_ms: float) -> bool:
         """Takes a peer's word; True where it is news.
 
         Args:
             opened: The group.
             peer: Who told.
-            is_far: Whether the peer stands in another data centre; then the
+            is_remote: Whether the peer stands in another data centre; then the
                 nodes of this one are told, too.
             now_ms: The time.
         """
@@ -37,16 +37,17 @@
                                             opened.model):
             return False
         _LOG.info(logs.line("group-open-heard", group=opened.key, peer=peer))
-        if is_far:
+        if is_remote:
             self.note(opened, now_ms)
         return True
 
-    def news(self, now_ms: float) -> tuple[peermessage.OpenedGroup, ...]:
+    def updates_for_peers(self,
+                          now_ms: float) -> tuple[peermessage.OpenedGroup, ...]:
         """Returns what other nodes should hear."""
         return tuple(opened for at_ms, opened in self._opened.values()
-                     if now_ms - at_ms < alarms.NEWS_MS)
+                     if now_ms - at_ms < alarms.ANNOUNCE_MS)
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
         clock.forget_old(self._opened, lambda opened: opened[0], _FORGOTTEN_MS,
                          now_ms)
--- a/cardamommill/gateway/peermessage.py
+++ b/cardamommill/gateway/peermessage.py
@@ -10,10 +10,10 @@
 from cardamommill import exceptions
 from cardamommill.gateway import (
     flights,
+    loadsums,
     model,
     ratelimits,
     reliability,
-    reporting,
 )
 
 # Larger datagrams are cut into fragments, and one lost loses all.
@@ -66,17 +66,18 @@
             for none.
         interval_ms: How soon the receiver will hear again.
         config_version: The configuration that is in force at the sender.
-        confirmed_age_ms: For how long it has not been known as the newest.
+        config_confirmed_age_ms: For how long it has not been known as the
+            newest.
         in_flight: What the sender has at each group.
         alarms: Groups found silent of late.
-        opened: Groups opened of late.
-        tries: Runners that failed requests of late.
-        requests_seen: Whether any caller's request has come.
+        opened_groups: Groups opened of late.
+        attempt_histories: Runners that failed requests of late.
+        has_seen_requests: Whether any caller's request has come.
         stopping: Whether the sender is about to end.
-        plans_ms: For how long it has planned for which data centres.
-        sums: From a reporter: to another data centre the sums of its own, to
-            its own those of all others.
-        store_lost: Whether the store fails it.
+        planning_age_ms: For how long it has planned for which data centres.
+        load_sums: From a reporter: to another data centre the sums of its own,
+            to its own those of all others.
+        has_lost_store: Whether the store fails it.
         limits: Rate limits that runners named, or lifted, of late; their times
             are by the sender's clock.
     """
@@ -88,20 +89,20 @@
     echo_ms: float
     interval_ms: float
     config_version: int
-    confirmed_age_ms: float
+    config_confirmed_age_ms: float
     in_flight: dict[model.GroupKey, flights.GroupLoad]
     alarms: tuple[Alarm, ...]
-    opened: tuple[OpenedGroup, ...]
-    tries: tuple[reliability.Tries, ...]
-    requests_seen: bool
+    opened_groups: tuple[OpenedGroup, ...]
+    attempt_histories: tuple[reliability.AttemptHistory, ...]
+    has_seen_requests: bool
     stopping: bool
-    plans_ms: dict[str, float]
-    sums: reporting.Sums | None = None
-    store_lost: bool = False
+    planning_age_ms: dict[str, float]
+    load_sums: loadsums.LoadSums | None = None
+    has_lost_store: bool = False
     limits: tuple[ratelimits.RateLimit, ...] = ()
 
 
-def datagram(echo_ms: float, interval_ms: float, body: bytes) -> bytes:
+def encode_datagram(echo_ms: float, interval_ms: float, body: bytes) -> bytes:
     """Returns the datagram for one receiver.
 
     Args:
@@ -116,16 +117,14 @@
     """Returns what all receivers get; loads that do not fit are left out."""
     in_flight = [[key.name, key.epoch, *_numbers(load)]
                  for key, load in message.in_flight.items()]
-    sums = [[
-        short_id, *_numbers(load)
-    ] for short_id, load in (message.sums.loads.items() if message.sums else ())
-           ]
+    load_sums = [[short_id, *_numbers(load)] for short_id, load in (
+        message.load_sums.loads.items() if message.load_sums else ())]
     while True:
-        data = _packed(message, in_flight, sums)
-        if len(data) <= MAX_BYTES - _HEAD.size or not (in_flight or sums):
+        data = _packed(message, in_flight, load_sums)
+        if len(data) <= MAX_BYTES - _HEAD.size or not (in_flight or load_sums):
             return data
         in_flight = in_flight[:len(in_flight) * 3 // 4]
-        sums = sums[:len(sums) * 3 // 4]
+        load_sums = load_sums[:len(load_sums) * 3 // 4]
 
 
 def _numbers(load: flights.GroupLoad) -> list[int]:
@@ -133,24 +132,25 @@
 
 
 def _packed(message: PeerMessage, in_flight: list[list[Any]],
-            sums: list[list[int]]) -> bytes:
+            load_sums: list[list[int]]) -> bytes:
     packed: bytes = msgpack.packb([
         message.node, message.incarnation, message.data_centre, message.sent_ms,
         message.config_version,
-        int(min(message.confirmed_age_ms, 1e9)), in_flight,
+        int(min(message.config_confirmed_age_ms, 1e9)), in_flight,
         [[
             each.key.name, each.key.epoch,
             int(each.age_ms), each.confirmed, each.silent
         ] for each in message.alarms],
         [[each.key.name, each.key.epoch, each.model, each.head]
-         for each in message.opened],
+         for each in message.opened_groups],
         [[
             each.runner, each.well,
             [[request, int(age_ms)] for request, age_ms in each.failures]
-        ] for each in message.tries], message.requests_seen, message.stopping, {
-            name: int(age) for name, age in message.plans_ms.items()
-        }, [message.sums.age_ms, sums] if message.sums else None,
-        message.store_lost,
+        ] for each in message.attempt_histories], message.has_seen_requests,
+        message.stopping, {
+            name: int(age) for name, age in message.planning_age_ms.items()
+        }, [message.load_sums.age_ms, load_sums] if message.load_sums else None,
+        message.has_lost_store,
         _limits(message)
     ])
     return packed
@@ -170,8 +170,8 @@
                 raise ValueError(f"format {form}")
             fields += FORMER_FORMATS[form]
         (node, incarnation, data_centre, sent_ms, version, age, in_flight,
-         alarms, opened, tries, requests_seen, stopping, plans, sums,
-         store_lost, limits) = fields
+         alarms, opened_groups, attempt_histories, has_seen_requests, stopping,
+         plans, load_sums, has_lost_store, limits) = fields
         return PeerMessage(
             str(node), int(incarnation), str(data_centre), float(sent_ms),
             echo_ms, interval_ms, int(version), float(age), {
@@ -187,16 +187,17 @@
                 for name, epoch, age_ms, confirmed, *silent in alarms),
             tuple(
                 OpenedGroup(model.GroupKey(str(name), int(epoch)), str(served),
-                            str(head)) for name, epoch, served, head in opened),
+                            str(head))
+                for name, epoch, served, head in opened_groups),
             tuple(
-                reliability.Tries(
+                reliability.AttemptHistory(
                     str(runner), int(well),
                     tuple((int(request), float(age_ms))
                           for request, age_ms in failures))
-                for runner, well, failures in tries), bool(requests_seen),
-            bool(stopping), {
+                for runner, well, failures in attempt_histories),
+            bool(has_seen_requests), bool(stopping), {
                 str(name): float(age) for name, age in plans.items()
-            }, _sums(sums), bool(store_lost),
+            }, _sums(load_sums), bool(has_lost_store),
             tuple(_limit(float(sent_ms), *each) for each in limits))
     except (ValueError, TypeError, AttributeError, struct.error,
             msgpack.exceptions.UnpackException,
@@ -227,10 +228,10 @@
     return flights.GroupLoad(requests, patient, unread_tokens)
 
 
-def _sums(told: Any) -> reporting.Sums | None:
+def _sums(told: Any) -> loadsums.LoadSums | None:
     if told is None:
         return None
     age_ms, loads = told
-    return reporting.Sums(float(age_ms), {
+    return loadsums.LoadSums(float(age_ms), {
         int(short_id): _load(numbers) for short_id, *numbers in loads
     })
--- a/cardamommill/gateway/peers.py
+++ b/cardamommill/gateway/peers.py
@@ -7,9 +7,9 @@
 from cardamommill.gateway import (
     election,
     flights,
+    loadsums,
     model,
     peermessage,
-    reporting,
 )
 
 Address = tuple[str, int]
@@ -51,7 +51,7 @@
 DARK_MS = 20_000.0
 
 
-class Audience(enum.Enum):
+class UpdateScope(enum.Enum):
     """What a peer is told."""
 
     # All that this node knows; with the sums of other data centres.
@@ -74,7 +74,7 @@
         address: Where it is.
         heard_ms: When it was last heard.
         sent_ms: When it was last told something.
-        last: Its newest message.
+        last_message: Its newest message.
         counted: Whether the requests of that message are in the sum of all.
         is_near: Whether it stands in this node's data centre.
         alive_ms: How long it is believed to live without a word.
@@ -85,7 +85,7 @@
     address: Address
     heard_ms: float = float("-inf")
     sent_ms: float = float("-inf")
-    last: peermessage.PeerMessage | None = None
+    last_message: peermessage.PeerMessage | None = None
     counted: bool = False
     is_near: bool = False
     alive_ms: float = _alive_ms(HEARTBEAT_MS)
@@ -96,11 +96,11 @@
         """Whether it was heard of late."""
         return now_ms - self.heard_ms < self.alive_ms
 
-    def hear(self, message: peermessage.PeerMessage, data_centre: str,
-             now_ms: float) -> None:
+    def receive(self, message: peermessage.PeerMessage, data_centre: str,
+                now_ms: float) -> None:
         """Takes its newest message, heard in a data centre."""
         self.heard_ms = now_ms
-        self.last = message
+        self.last_message = message
         self.is_near = message.data_centre == data_centre
         self.alive_ms = _alive_ms(message.interval_ms)
         self.worth_ms = max(LOAD_AGE_MS, LOAD_INTERVALS * message.interval_ms)
@@ -133,7 +133,7 @@
         # spent while nothing happened.
         self._idle_until_ms = float("-inf")
 
-    def learn(self, address: Address) -> bool:
+    def add_address(self, address: Address) -> bool:
         """Notes an address where a node may be; True where it is new."""
         if address == self._address or address in self.peers:
             return False
@@ -141,33 +141,34 @@
         self._look_soon()
         return True
 
-    def take(self, message: peermessage.PeerMessage, address: Address,
-             now_ms: float) -> bool:
+    def receive(self, message: peermessage.PeerMessage, address: Address,
+                now_ms: float) -> bool:
         """Takes a message; True where its sender was not alive before."""
         if message.node == self._node:
             return False
-        self.learn(address)
+        self.add_address(address)
         peer = self.peers[address]
-        if peer.last is not None and (peer.last.incarnation
-                                      == message.incarnation and
-                                      message.sent_ms < peer.last.sent_ms):
+        if peer.last_message is not None and (
+                peer.last_message.incarnation == message.incarnation and
+                message.sent_ms < peer.last_message.sent_ms):
             # Overtaken on its way.
             return False
         was_alive, was_near = peer.is_alive(now_ms), peer.is_near
-        if peer.last is None or peer.last.incarnation != message.incarnation:
+        if (peer.last_message is None or
+                peer.last_message.incarnation != message.incarnation):
             # It has just started, and follows whomever it hears first.
             was_alive = False
             peer.sent_ms = float("-inf")
         self._discount(peer)
-        peer.hear(message, self._data_centre, now_ms)
+        peer.receive(message, self._data_centre, now_ms)
         self._count(peer)
-        if message.sums is not None and not peer.is_near:
+        if message.load_sums is not None and not peer.is_near:
             self._reported_ms[message.data_centre] = now_ms
         if not was_alive or peer.is_near != was_near:
             self._look_soon()
         return not was_alive
 
-    def due(self, now_ms: float) -> list[tuple[Peer, float]]:
+    def due_peers(self, now_ms: float) -> list[tuple[Peer, float]]:
         """Returns the peers to send to now, and notes that it is done.
 
         Returns:
@@ -194,7 +195,8 @@
         self._idle_until_ms = next_ms - LOOK_MARGIN_MS
         return found
 
-    def at_once(self, now_ms: float, far: bool) -> list[tuple[Peer, float]]:
+    def urgent_peers(self, now_ms: float,
+                     far: bool) -> list[tuple[Peer, float]]:
         """Returns the peers that hear news now, and notes that it is done.
 
         Told to each node of each data centre, the news of a fleet were most of
@@ -205,7 +207,7 @@
             far: Whether reporters of other data centres hear them, too.
 
         Returns:
-            As `due` does.
+            As `due_peers` does.
         """
         self._settle_intervals()
         found = []
@@ -215,21 +217,22 @@
                 found.append((peer, self._interval_ms(peer, now_ms)))
         return found
 
-    def audience(self, peer: Peer) -> Audience:
+    def update_scope(self, peer: Peer) -> UpdateScope:
         """Returns what a peer is told."""
         if peer.is_near or self._far_ms <= LOAD_AGE_MS:
-            return Audience.NEAR
+            return UpdateScope.NEAR
         if self.is_reporter and peer.address in self._far_reporters:
-            return Audience.REPORTER
-        return Audience.FAR
+            return UpdateScope.REPORTER
+        return UpdateScope.FAR
 
     def choose_reporters(self, now_ms: float) -> None:
         """Settles who speaks for each data centre: the first by name."""
         first = {
             place:
-                frozenset(address for _, address in heapq.nsmallest(
-                    reporting.REPORTERS, nodes))
-            for place, nodes in self._living(now_ms).items()
+                frozenset(
+                    address
+                    for _, address in heapq.nsmallest(loadsums.REPORTERS, nodes)
+                ) for place, nodes in self._living(now_ms).items()
         }
         before = self.is_reporter, self._far_reporters
         self.is_reporter = self._address in first.pop(self._data_centre)
@@ -237,7 +240,7 @@
         if before != (self.is_reporter, self._far_reporters):
             self._look_soon()
 
-    def living(self, now_ms: float) -> dict[str, list[str]]:
+    def live_nodes(self, now_ms: float) -> dict[str, list[str]]:
         """Returns the names of living nodes by data centre, with this one."""
         return {
             place: [name for name, _ in nodes]
@@ -246,18 +249,18 @@
 
     def _living(self, now_ms: float) -> dict[str, list[tuple[str, Address]]]:
         places = {self._data_centre: [(self._node, self._address)]}
-        for each in self.alive(now_ms):
-            if each.last is not None:
-                places.setdefault(each.last.data_centre, []).append(
-                    (each.last.node, each.address))
+        for each in self.live_peers(now_ms):
+            if each.last_message is not None:
+                places.setdefault(each.last_message.data_centre, []).append(
+                    (each.last_message.node, each.address))
         return places
 
-    def near_loads(self) -> reporting.Loads:
+    def near_loads(self) -> loadsums.Loads:
         """Returns the sums of what the other nodes of this place have."""
-        return reporting.added(
-            reporting.marked(each.last.in_flight)
+        return loadsums.sum_loads(
+            loadsums.loads_by_short_id(each.last_message.in_flight)
             for each in self.peers.values()
-            if each.counted and each.is_near and each.last is not None)
+            if each.counted and each.is_near and each.last_message is not None)
 
     def _look_soon(self) -> None:
         """Has the next look for who is due go through all peers."""
@@ -268,45 +271,45 @@
         near = sum(each.is_near for each in self.peers.values())
         far = len(self.peers) - near
         self._near_ms = max(HEARTBEAT_MS, 1000 * near / NEAR_PER_S)
-        if self.plans:
+        if self.is_planner:
             self._near_ms = min(self._near_ms, PLANNER_HEARTBEAT_MS)
         nodes = 1 + len(self.peers)
         far_per_s = max(LEAST_FAR_PER_S, FAR_PER_S * min(1, FEW_NODES / nodes))
         self._far_ms = max(HEARTBEAT_MS, 1000 * far / far_per_s)
 
     def _interval_ms(self, peer: Peer, now_ms: float) -> float:
-        if peer.last is None:
+        if peer.last_message is None:
             return min(max(SEED_INTERVAL_MS, self._far_ms), UNHEARD_MS)
         interval_ms = self._near_ms if peer.is_near else self._far_ms
-        if self.audience(peer) is Audience.REPORTER:
-            interval_ms = reporting.REPORT_MS
+        if self.update_scope(peer) is UpdateScope.REPORTER:
+            interval_ms = loadsums.REPORT_MS
         if now_ms - peer.heard_ms > 2 * peer.alive_ms:
             interval_ms = max(interval_ms, SEED_INTERVAL_MS)
         return interval_ms
 
     def _count(self, peer: Peer) -> None:
-        assert peer.last is not None
+        assert peer.last_message is not None
         peer.counted = True
-        for key, load in peer.last.in_flight.items():
+        for key, load in peer.last_message.in_flight.items():
             self._loads[key] = self._loads.get(key, flights.NO_LOAD).plus(load)
 
     def _discount(self, peer: Peer) -> None:
-        if not peer.counted or peer.last is None:
+        if not peer.counted or peer.last_message is None:
             return
         peer.counted = False
-        for key, load in peer.last.in_flight.items():
+        for key, load in peer.last_message.in_flight.items():
             left = self._loads[key].minus(load)
             if left == flights.NO_LOAD:
                 del self._loads[key]
             else:
                 self._loads[key] = left
 
-    def alive(self, now_ms: float) -> list[Peer]:
+    def live_peers(self, now_ms: float) -> list[Peer]:
         """Returns the peers that were heard of late."""
         return [
             each for each in self.peers.values()
             if now_ms - each.heard_ms < each.alive_ms and
-            each.last is not None and not each.last.stopping
+            each.last_message is not None and not each.last_message.stopping
         ]
 
     def nodes(self, now_ms: float) -> int:
@@ -325,14 +328,15 @@
         """Returns the data centres whose runners this node orders."""
         if now_ms - self._started_ms < SETTLE_MS:
             return frozenset()
-        alive = [
-            each.last
-            for each in self.alive(now_ms)
-            if each.last and not self._is_dark(each.last.data_centre, now_ms)
+        live_peers = [
+            each.last_message
+            for each in self.live_peers(now_ms)
+            if each.last_message and
+            not self._is_dark(each.last_message.data_centre, now_ms)
         ]
-        planned = self.plans
-        self._election.hold(data_centres, alive, now_ms)
-        if self.plans != planned:
+        planned = self.is_planner
+        self._election.hold(data_centres, live_peers, now_ms)
+        if self.is_planner != planned:
             self._look_soon()
         return self._election.won
 
@@ -347,11 +351,11 @@
                 now_ms - reported_ms > DARK_MS)
 
     @property
-    def plans(self) -> bool:
+    def is_planner(self) -> bool:
         """Whether this node orders any runners."""
         return bool(self._election.won)
 
-    def plans_ms(self, now_ms: float) -> dict[str, float]:
+    def planning_age_ms(self, now_ms: float) -> dict[str, float]:
         """Returns for how long this node has planned for whom."""
         return self._election.ages_ms(now_ms)
 
@@ -376,23 +380,25 @@
             return 0.0
         told_ms = self._near_ms / 2
         if self._far_ms > LOAD_AGE_MS:
-            told_ms += reporting.REPORT_MS / 2
+            told_ms += loadsums.REPORT_MS / 2
         return told_ms
 
-    def confirmed_ms(self, config_version: int) -> float:
+    def config_confirmed_ms(self, config_version: int) -> float:
         """Returns as of when a peer knows our configuration as the newest.
 
         Dated by this node's own question: the peer echoes when it was sent,
         so a datagram that was late only makes the evidence older.
         """
-        return max((each.last.echo_ms - each.last.confirmed_age_ms
-                    for each in self.peers.values()
-                    if each.last is not None and each.last.echo_ms and
-                    each.last.config_version == config_version),
-                   default=float("-inf"))
+        return max(
+            (each.last_message.echo_ms -
+             each.last_message.config_confirmed_age_ms
+             for each in self.peers.values()
+             if each.last_message is not None and each.last_message.echo_ms and
+             each.last_message.config_version == config_version),
+            default=float("-inf"))
 
     def any_requests_seen(self) -> bool:
         """Whether any peer has had a caller's request."""
-        return any(each.last.requests_seen
+        return any(each.last_message.has_seen_requests
                    for each in self.peers.values()
-                   if each.last is not None)
+                   if each.last_message is not None)
--- a/cardamommill/gateway/placing.py
+++ b/cardamommill/gateway/placing.py
@@ -47,7 +47,7 @@
         reading_tokens: Prompt tokens that were sent to it and not yet read.
         patient: Requests that wait behind those that can be in time.
         fail_odds: How likely its head fails the next try.
-        rests: Whether its head failed a moment ago.
+        is_cooling_down: Whether its head failed a moment ago.
         wait_ms: How long its head takes nothing more of this node.
         connected: Whether a kept connection to its head stands idle.
     """
@@ -62,14 +62,14 @@
     reading_tokens: float = 0.0
     patient: int = 0
     fail_odds: float = 0.0
-    rests: bool = False
+    is_cooling_down: bool = False
     wait_ms: float = 0.0
     connected: bool = False
 
     @property
     def is_doubted(self) -> bool:
         """Whether it is likely to fail what it gets."""
-        return self.fail_odds > reliability.DOUBTED
+        return self.fail_odds > reliability.DOUBT_THRESHOLD
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
     """
 
     candidate: Candidate
-    expected: silence.Expected
+    expected: silence.ExpectedTiming
     finish_ms: float
     overhead_ms: float = 0.0
     patient: bool = False
@@ -119,7 +119,7 @@
     return engine.stride * step_ms * pace
 
 
-def longest_pass_ms(engine: model.Engine, pace: float) -> float:
+def max_pass_ms(engine: model.Engine, pace: float) -> float:
     """Returns what a pass takes in which each step reads what it may."""
     reading_ms = read_ms(engine, engine.chunk_tokens, pace)
     return pass_ms(engine, engine.slots, pace) + engine.stride * reading_ms
@@ -206,8 +206,8 @@
     placed = [_expect(engine, work, each, wish.overhead_ms) for each in takers]
     sound = [each for each in placed if not each.candidate.is_doubted]
     doubted = [
-        each for each in placed
-        if each.candidate.is_doubted and not (sound and each.candidate.rests)
+        each for each in placed if each.candidate.is_doubted and
+        not (sound and each.candidate.is_cooling_down)
     ]
     chosen = _best(engine, sound, wish) or _best(engine, doubted, wish)
     if chosen is not None:
@@ -354,9 +354,9 @@
                 queue_ms)
     finish_ms = first_ms + work.answer_tokens / engine.stride * _usual_pass_ms(
         engine, running + 1, candidate.pace)
-    expected = silence.Expected(one_pass_ms,
-                                longest_pass_ms(engine, candidate.pace),
-                                own_read_ms, first_ms)
+    expected = silence.ExpectedTiming(one_pass_ms,
+                                      max_pass_ms(engine, candidate.pace),
+                                      own_read_ms, first_ms)
     return Placed(candidate, expected, finish_ms, overhead_ms)
 
 
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -46,7 +46,7 @@
         """Notes that a runner gave no answer of its own, or refused."""
         self._faults_ms[runner] = now_ms
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets old faults."""
         clock.forget_old(self._faults_ms, float, 10 * FAULT_MS, now_ms)
 
@@ -60,7 +60,7 @@
             fault_ms = self._faults_ms.get(runner.id, float("-inf"))
             odds = self._tries.fail_odds(runner.id, now_ms)
             is_last = (now_ms - fault_ms < FAULT_MS or
-                       odds > reliability.DOUBTED)
+                       odds > reliability.DOUBT_THRESHOLD)
             load = self._in_flight.get(runner.id, 0) // 2
             return (is_last, load + int(FAIL_STEPS * odds), runner.data_centre
                     != self._data_centre, self._chance.random())
--- a/cardamommill/gateway/ratelimits.py
+++ b/cardamommill/gateway/ratelimits.py
@@ -111,16 +111,16 @@
 class RateLimits:
     """Limits of runners by id, and this node's part of each."""
 
-    def __init__(self, node: str, living: Callable[[float], Nodes]) -> None:
+    def __init__(self, node: str, live_nodes: Callable[[float], Nodes]) -> None:
         """Makes it.
 
         Args:
             node: This node's name.
-            living: Returns the living nodes of each data centre, this one
+            live_nodes: Returns the living nodes of each data centre, this one
                 among them, at a time.
         """
         self._node = node
-        self._living = living
+        self._living = live_nodes
         self._limits: dict[str, RateLimit] = {}
         self._buckets: dict[str, _Bucket] = {}
 
@@ -151,8 +151,8 @@
         return self._take(
             RateLimit(runner, per_s, as_of_ms, self._node, as_of_ms), now_ms)
 
-    def hear(self, told: Iterable[RateLimit], sent_ms: float,
-             now_ms: float) -> list[RateLimit]:
+    def receive(self, told: Iterable[RateLimit], sent_ms: float,
+                now_ms: float) -> list[RateLimit]:
         """Takes what a peer tells.
 
         Args:
@@ -182,7 +182,7 @@
             bucket.turn = _NO_TURN
         return (before.per_s if before else None) != limit.per_s
 
-    def news(self, now_ms: float) -> tuple[RateLimit, ...]:
+    def updates_for_peers(self, now_ms: float) -> tuple[RateLimit, ...]:
         """Returns what other nodes should hear.
 
         What this node was told by the runner itself comes first, then the
@@ -240,8 +240,8 @@
 
     def _share_per_s(self, limit: RateLimit, data_centre: str,
                      now_ms: float) -> float:
-        living = self._living(now_ms)
-        nodes = list(living.get(data_centre, ())) or _all(living)
+        live_nodes = self._living(now_ms)
+        nodes = list(live_nodes.get(data_centre, ())) or _all(live_nodes)
         per_s = units.MS_PER_S / limit.interval_ms
         senders = _senders(limit.runner, nodes, int(per_s))
         return per_s / len(senders) if self._node in senders else 0.0
@@ -255,7 +255,7 @@
         bucket.fill(now_ms)
         bucket.tokens -= 1
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
         clock.forget_old(self._limits, lambda limit: limit.as_of_ms,
                          FORGOTTEN_MS, now_ms)
@@ -263,8 +263,8 @@
             del self._buckets[runner]
 
 
-def _all(living: Nodes) -> list[str]:
-    return [name for names in living.values() for name in names]
+def _all(live_nodes: Nodes) -> list[str]:
+    return [name for names in live_nodes.values() for name in names]
 
 
 def _senders(runner: str, nodes: list[str], count: int) -> list[str]:
--- a/cardamommill/gateway/reliability.py
+++ b/cardamommill/gateway/reliability.py
@@ -32,7 +32,7 @@
 PRIOR_FAILED = 0.02
 PRIOR_WELL = 1.5
 # Beyond this a runner is used only where no other takes a request.
-DOUBTED = 0.5
+DOUBT_THRESHOLD = 0.5
 # A doubted runner gets nothing for this long after it failed, while any other
 # stands: by then nodes nearby have told of it.
 REST_MS = 500.0
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tries:
+class AttemptHistory:
     """What a node tells of tries at one runner.
 
     Attributes:
@@ -85,7 +85,7 @@
         # What peers last told of tries that went well, by runner and peer.
         self._peers_well: dict[str, dict[str, int]] = {}
 
-    def went_well(self, runner: str, now_ms: float) -> None:
+    def succeeded(self, runner: str, now_ms: float) -> None:
         """Notes a try that brought an event or a sound answer."""
         self._well_ms.setdefault(
             runner, collections.deque(maxlen=MAX_WELL)).append(now_ms)
@@ -117,24 +117,24 @@
         since_ms = min(self._failures[runner].values())
         return sum(at_ms >= since_ms for at_ms in self._well_ms.get(runner, ()))
 
-    def turned(self, now_ms: float) -> list[tuple[str, float]]:
+    def doubt_changes(self, now_ms: float) -> list[tuple[str, float]]:
         """Returns runners newly doubted, or no longer, with the odds."""
         found = []
         for runner in sorted(self._doubted | self._failures.keys()):
             odds = self.fail_odds(runner, now_ms)
-            if (odds > DOUBTED) is not (runner in self._doubted):
+            if (odds > DOUBT_THRESHOLD) is not (runner in self._doubted):
                 self._doubted ^= {runner}
                 found.append((runner, odds))
         return found
 
-    def rests(self, runner: str, now_ms: float) -> bool:
+    def is_cooling_down(self, runner: str, now_ms: float) -> bool:
         """Whether a runner failed a moment ago."""
         failures = self._failures.get(runner)
         if not failures:
             return False
         return now_ms - max(failures.values()) < REST_MS
 
-    def news(self, now_ms: float) -> tuple[Tries, ...]:
+    def updates_for_peers(self, now_ms: float) -> tuple[AttemptHistory, ...]:
         """Returns what other nodes should hear, the newest first."""
         if self._may_be_cut_off(now_ms):
             return ()
@@ -145,7 +145,7 @@
                            if now_ms - at_ms < TOLD_MS)
             if young:
                 told.append(
-                    Tries(
+                    AttemptHistory(
                         runner, self._own_well(runner),
                         tuple(
                             (request, age_ms)
@@ -165,7 +165,8 @@
             now_ms - times[-1] < TOLD_MS for times in self._well_ms.values())
         return failed > max(1, served)
 
-    def hear(self, told: Iterable[Tries], peer: str, now_ms: float) -> None:
+    def receive(self, told: Iterable[AttemptHistory], peer: str,
+                now_ms: float) -> None:
         """Takes what a peer tells.
 
         Failures are the same whoever tells of them: what came back, or comes
@@ -176,7 +177,7 @@
                 self._note(each.runner, request, now_ms - age_ms)
             self._peers_well.setdefault(each.runner, {})[peer] = each.well
 
-    def forget(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Forgets what weighs next to nothing."""
         for runner, failures in list(self._failures.items()):
             clock.forget_old(failures, float, FORGOTTEN_MS, now_ms)
--- a/cardamommill/gateway/silence.py
+++ b/cardamommill/gateway/silence.py
@@ -54,18 +54,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedTiming:
     """What a group should do with a request, all from when it is sent.
 
     Attributes:
         pass_ms: What a pass of the group should take.
-        longest_pass_ms: What one may take that reads as much as it can.
+        max_pass_ms: What one may take that reads as much as it can.
         read_ms: What reading the request's prompt should take.
         first_event_ms: When its first event should come.
     """
 
     pass_ms: float
-    longest_pass_ms: float
+    max_pass_ms: float
     read_ms: float
     first_event_ms: float
 
@@ -76,13 +76,13 @@
     def __init__(self) -> None:
         self._watches: dict[model.GroupKey, Watch] = {}
 
-    def sent(self, key: model.GroupKey, request: str, expected: Expected,
+    def sent(self, key: model.GroupKey, request: str, expected: ExpectedTiming,
              now_ms: float) -> None:
         """Notes a request that went to a group."""
         watch = self._watches.setdefault(
-            key, Watch(expected.pass_ms, expected.longest_pass_ms))
+            key, Watch(expected.pass_ms, expected.max_pass_ms))
         watch.pass_ms = expected.pass_ms
-        watch.longest_ms = expected.longest_pass_ms
+        watch.longest_ms = expected.max_pass_ms
         watch.waiting[request] = now_ms + expected.first_event_ms
         watch.reading_until_ms = (max(watch.reading_until_ms, now_ms) +
                                   expected.read_ms)
--- a/cardamommill/gateway/sourceselector.py
+++ b/cardamommill/gateway/sourceselector.py
@@ -111,9 +111,10 @@
 
     def _near(self, now_ms: float) -> list[_Near]:
         """Returns the living nodes of this data centre."""
-        return [(each.last.store_lost, each.last.node, each.address)
-                for each in self._peers.alive(now_ms)
-                if each.last and each.is_near]
+        return [(each.last_message.has_lost_store, each.last_message.node,
+                 each.address)
+                for each in self._peers.live_peers(now_ms)
+                if each.last_message and each.is_near]
 
     def _store_again_ms(self, near: list[_Near]) -> float:
         """Returns when a node that lost the store asks it again.
@@ -138,7 +139,7 @@
         hear who lost the store. A planner reads for itself: it waits for news
         of its members.
         """
-        if self._peers.plans:
+        if self._peers.is_planner:
             return None
         own = (self.has_lost_store(now_ms), self._node)
         readers = heapq.nsmallest(READERS_PER_DATA_CENTRE, near)
@@ -151,14 +152,16 @@
         """Returns the nearest peer with a newer configuration in force."""
         return self._nearest(
             ((each, now_ms - each.heard_ms)
-             for each in self._peers.alive(now_ms)
-             if each.last and each.last.config_version > version), now_ms)
+             for each in self._peers.live_peers(now_ms)
+             if each.last_message and each.last_message.config_version > version
+            ), now_ms)
 
     def _young(self, now_ms: float) -> Source | None:
         """Returns the nearest peer that confirmed the configuration of late."""
-        aged = ((each, each.last.confirmed_age_ms + now_ms - each.heard_ms)
-                for each in self._peers.alive(now_ms)
-                if each.last)
+        aged = ((each, each.last_message.config_confirmed_age_ms + now_ms -
+                 each.heard_ms)
+                for each in self._peers.live_peers(now_ms)
+                if each.last_message)
         return self._nearest(((each, age_ms)
                               for each, age_ms in aged
                               if age_ms < MAX_CONFIRMATION_AGE_MS), now_ms)
--- a/tests/experiment/test_deaf_nodes.py
+++ b/tests/experiment/test_deaf_nodes.py
@@ -13,7 +13,7 @@
     Groups are formed over each other's orders all the while. Only the runners'
     counts of orders keep a member of an open group out of the next one.
     """
-    monkeypatch.setattr(nodelink.NodeLink, "_tell", lambda *_: None)
+    monkeypatch.setattr(nodelink.NodeLink, "_send", lambda *_: None)
     outcome = test_world.play(test_world.trouble("node_kill",
                                                  1.0,
                                                  for_s=2.0,
--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -70,19 +70,19 @@
 
     def far_bytes_per_s(nodes):
         sent = []
-        tell = nodelink.NodeLink._tell
+        tell = nodelink.NodeLink._send
 
         def counted(self, told, now_ms):
             tell(self, told, now_ms)
             started.append(now_ms)
             if now_ms - started[0] > 6000:
-                sent.extend(
-                    LIGHT_BYTES for peer, _ in told if not peer.is_near and
-                    self._peers.audience(peer) is not peers.Audience.REPORTER)
+                sent.extend(LIGHT_BYTES for peer, _ in told
+                            if not peer.is_near and self._peers.update_scope(
+                                peer) is not peers.UpdateScope.REPORTER)
 
         started = []
         with monkeypatch.context() as patched:
-            patched.setattr(nodelink.NodeLink, "_tell", counted)
+            patched.setattr(nodelink.NodeLink, "_send", counted)
             play(nodes, length_s=2.0)
         return sum(sent)
 
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -97,16 +97,16 @@
     def fall_silent(self, key=KEY, for_ms=500):
         """Has a request wait for its first event for far too long."""
         now_ms = clock.now_ms()
-        expected = silence.Expected(40.0, 300.0, 20.0, 100.0)
+        expected = silence.ExpectedTiming(40.0, 300.0, 20.0, 100.0)
         self.requests.silence.sent(key, "r1", expected, now_ms - for_ms)
-        self.alarms.look(now_ms)
+        self.alarms.check_groups(now_ms)
 
     def is_avoided(self, key=KEY):
         return key in self.avoided
 
     def look_back(self):
         """Keeps which groups are avoided while the run's clock is read."""
-        self.news = self.alarms.news(clock.now_ms())
+        self.updates = self.alarms.updates_for_peers(clock.now_ms())
         self.avoided = {
             key for key in (KEY, OTHER, THIRD, FOURTH)
             if self.requests.standing.is_avoided(key, clock.now_ms())
@@ -142,8 +142,8 @@
     """
 
     def script(bench):
-        bench.alarms.hear(peermessage.Alarm(KEY, 10.0, False), "n2",
-                          clock.now_ms())
+        bench.alarms.receive(peermessage.Alarm(KEY, 10.0, False), "n2",
+                             clock.now_ms())
         bench.fall_silent()
 
     bench = play(script)
@@ -235,8 +235,8 @@
     def script(bench):
         bench.fall_silent(for_ms=0)
         bench.requests.silence.event(KEY, "r1", clock.now_ms())
-        bench.alarms.hear(peermessage.Alarm(KEY, 10.0, True), "n2",
-                          clock.now_ms())
+        bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True), "n2",
+                             clock.now_ms())
 
     bench = play(script)
     assert not bench.relay.reasons and not bench.is_avoided()
@@ -246,8 +246,8 @@
 
     def script(bench):
         for _ in range(3):
-            bench.alarms.hear(peermessage.Alarm(KEY, 10.0, True), "n2",
-                              clock.now_ms())
+            bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True), "n2",
+                                 clock.now_ms())
 
     bench = play(script)
     assert bench.relay.reasons == ["a peer found a member down"]
@@ -259,13 +259,13 @@
 
     def script(bench):
         bench.group_controller.dead = {"i-2"}
-        bench.alarms.hear(peermessage.Alarm(KEY, 10.0, True, ("i-2",)), "n2",
-                          clock.now_ms())
+        bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True, ("i-2",)), "n2",
+                             clock.now_ms())
 
     bench = play(script, plans=True)
     assert bench.group_controller.asked == ["i-2"]
     assert bench.view.known["i-2"].down_ms
-    (told,) = bench.news
+    (told,) = bench.updates
     assert told.silent == ("i-2",)
 
 
@@ -279,8 +279,8 @@
     def script(bench):
         for number in range(4, 16):
             bench.view.record_no_answer(f"i-{number}", clock.now_ms() - 3000)
-        bench.alarms.ask_again(clock.now_ms(), "b")
-        bench.alarms.ask_again(clock.now_ms(), "b")
+        bench.alarms.probe_down_runners(clock.now_ms(), "b")
+        bench.alarms.probe_down_runners(clock.now_ms(), "b")
 
     bench = play(script)
     assert sorted(bench.group_controller.asked) == sorted(
@@ -293,9 +293,9 @@
     def script(bench):
         now_ms = clock.now_ms()
         bench.view.record_no_answer("i-0", now_ms)
-        bench.alarms.ask_again(now_ms + 1000)
+        bench.alarms.probe_down_runners(now_ms + 1000)
         assert not bench.group_controller.asked
-        bench.alarms.ask_again(now_ms + 3100)
+        bench.alarms.probe_down_runners(now_ms + 3100)
 
     assert play(script).group_controller.asked == ["i-0"]
 
@@ -333,8 +333,8 @@
 
     def script(bench):
         bench.group_controller.dead = {"i-0"}
-        bench.alarms.hear(peermessage.Alarm(OTHER, 10.0, False), "n2",
-                          clock.now_ms())
+        bench.alarms.receive(peermessage.Alarm(OTHER, 10.0, False), "n2",
+                             clock.now_ms())
         bench.fall_silent()
 
     def kept(bench):
@@ -345,7 +345,7 @@
 
     bench = play(script)
     known_ms = max(bench.alarms._probed_ms.values())
-    bench.alarms.forget(known_ms + alarms.FORGET_MS - 200)
+    bench.alarms.drop_expired(known_ms + alarms.FORGET_MS - 200)
     assert all(kept(bench))
-    bench.alarms.forget(known_ms + alarms.FORGET_MS + 200)
+    bench.alarms.drop_expired(known_ms + alarms.FORGET_MS + 200)
     assert not any(kept(bench))
--- a/tests/gateway/test_backpressure.py
+++ b/tests/gateway/test_backpressure.py
@@ -24,7 +24,7 @@
             (name.replace("_", "-"), value) for name, value in headers.items()
         ])
         with clock.set_to(lambda: self.now_ms):
-            self.asked.take_head("a1", RUNNER.id, head, self.now_ms - 1)
+            self.asked.receive_head("a1", RUNNER.id, head, self.now_ms - 1)
 
     def wait_ms(self):
         return self.asked.wait_ms(RUNNER, self.now_ms)
@@ -109,5 +109,5 @@
     node = Node()
     node.answer(503, Retry_After="2")
     node.now_ms += 2001
-    node.asked.forget(node.now_ms)
+    node.asked.drop_expired(node.now_ms)
     assert not node.asked._rests_until_ms
--- a/tests/gateway/test_peermessage.py
+++ b/tests/gateway/test_peermessage.py
@@ -11,11 +11,11 @@
 from cardamommill import exceptions
 from cardamommill.gateway import (
     flights,
+    loadsums,
     model,
     peermessage,
     ratelimits,
     reliability,
-    reporting,
 )
 from tests.gateway import test_peers
 
@@ -27,8 +27,8 @@
 
 
 def encoded(sent):
-    return peermessage.datagram(sent.echo_ms, sent.interval_ms,
-                                peermessage.encode_body(sent))
+    return peermessage.encode_datagram(sent.echo_ms, sent.interval_ms,
+                                       peermessage.encode_body(sent))
 
 
 @hypothesis.given(strategies.dictionaries(KEYS, LOADS, max_size=5),
@@ -41,13 +41,15 @@
         in_flight=in_flight,
         stopping=stopping,
         alarms=(peermessage.Alarm(key, 40.0, True, ("i-1", "i-7")),),
-        opened=(peermessage.OpenedGroup(key, "large", "i-1"),),
-        tries=(reliability.Tries("i-2", 3, ((2**32 - 1, 40.0), (0, 7.0))),),
-        plans_ms={"a": 10.0},
-        sums=reporting.Sums(120.0, {
+        opened_groups=(peermessage.OpenedGroup(key, "large", "i-1"),),
+        attempt_histories=(reliability.AttemptHistory("i-2", 3,
+                                                      ((2**32 - 1, 40.0),
+                                                       (0, 7.0))),),
+        planning_age_ms={"a": 10.0},
+        load_sums=loadsums.LoadSums(120.0, {
             key.short_id: load for key, load in in_flight.items()
         }),
-        store_lost=stopping)
+        has_lost_store=stopping)
     assert peermessage.decode(encoded(sent), "peer") == sent
 
 
@@ -70,15 +72,16 @@
     assert peermessage.decode(former + msgpack.packb(fields), "peer") == sent
 
 
-@pytest.mark.parametrize("sums",
+@pytest.mark.parametrize("load_sums",
                          [[1.0], [1.0, [[3, 1]]], [1.0, [["x", 1, 0, 0]]],
                           ["x", []], 7, [1.0, [[3, 1, 0, 0, 9]]]])
-def test_sums_that_are_cut_or_no_sums_are_refused_whole(sums):
+def test_sums_that_are_cut_or_no_sums_are_refused_whole(load_sums):
     fields = msgpack.unpackb(encoded(test_peers.message("n", "a"))[17:])
-    fields[-3] = sums
+    fields[-3] = load_sums
     with pytest.raises(exceptions.BadPeerMessage):
         peermessage.decode(
-            peermessage.datagram(0.0, 200.0, msgpack.packb(fields)), "peer")
+            peermessage.encode_datagram(0.0, 200.0, msgpack.packb(fields)),
+            "peer")
 
 
 LIMIT = ratelimits.RateLimit("i-0123456789", 1.6, 500.0, "n", 500.25)
@@ -100,7 +103,8 @@
     fields[-1] = limits
     with pytest.raises(exceptions.BadPeerMessage):
         peermessage.decode(
-            peermessage.datagram(0.0, 200.0, msgpack.packb(fields)), "peer")
+            peermessage.encode_datagram(0.0, 200.0, msgpack.packb(fields)),
+            "peer")
 
 
 def test_message_fits_a_datagram_however_many_groups_there_are():
@@ -109,18 +113,18 @@
         for number in range(500)
     }
     failing = tuple(
-        reliability.Tries(f"i-{number:010x}", 30, ((2**32 - 1, 2900.0),) *
-                          reliability.MAX_TOLD_FAILURES)
+        reliability.AttemptHistory(f"i-{number:010x}", 30, (
+            (2**32 - 1, 2900.0),) * reliability.MAX_TOLD_FAILURES)
         for number in range(reliability.MAX_TOLD_RUNNERS))
-    sums = reporting.Sums(40.0, {
+    load_sums = loadsums.LoadSums(40.0, {
         key.short_id: load for key, load in many.items()
     })
     sent = test_peers.message("n",
                               "a",
                               in_flight=many,
-                              tries=failing,
+                              attempt_histories=failing,
                               limits=(LIMIT,) * ratelimits.MAX_TOLD,
-                              sums=sums)
+                              load_sums=load_sums)
     data = encoded(sent)
     assert len(data) <= peermessage.MAX_BYTES
     assert peermessage.decode(data, "peer").in_flight
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -161,7 +161,7 @@
     assert place(failing).candidate.key.name == "failing"
     assert place(failing, full).candidate.key.name == "failing"
     # A moment after it failed one more is told to come back.
-    rests = dataclasses.replace(failing, rests=True)
+    rests = dataclasses.replace(failing, is_cooling_down=True)
     assert isinstance(place(rests, full), placing.Refused)
     assert place(rests).candidate.key.name == "failing"
 
@@ -173,7 +173,7 @@
 
 
 def test_refused_callers_come_back_by_what_sound_groups_have_to_do():
-    idle = candidate("failing", 0, fail_odds=0.7, rests=True)
+    idle = candidate("failing", 0, fail_odds=0.7, is_cooling_down=True)
     full = candidate("full", 13, patient=13, reading_tokens=60_000)
     refused = place(idle, full)
     assert refused == place(full)
--- a/tests/gateway/test_ratelimits.py
+++ b/tests/gateway/test_ratelimits.py
@@ -55,10 +55,10 @@
 
     def tell(self):
         for name, limits in self.limits.items():
-            told = limits.news(self.now_ms)
+            told = limits.updates_for_peers(self.now_ms)
             for other, hearing in self.limits.items():
                 if other != name:
-                    hearing.hear(told, self.now_ms, self.now_ms)
+                    hearing.receive(told, self.now_ms, self.now_ms)
 
     def most_in_a_window(self, from_ms):
         sent = [each for each in self.sent_ms if each >= from_ms]
@@ -169,17 +169,18 @@
     one, other = alone(), ratelimits.RateLimits("m", lambda _: {"a": ["m"]})
     one.take_answer("i-1", 1.0, 0, 100)
     for now_ms in range(200, 20_000, 200):
-        other.hear(one.news(now_ms), now_ms, now_ms + 50)
-        one.hear(other.news(now_ms), now_ms, now_ms + 50)
-    assert not one.news(20_000) and not other.news(20_000)
+        other.receive(one.updates_for_peers(now_ms), now_ms, now_ms + 50)
+        one.receive(other.updates_for_peers(now_ms), now_ms, now_ms + 50)
+    assert not one.updates_for_peers(20_000) and not other.updates_for_peers(
+        20_000)
 
 
 @pytest.mark.parametrize("ahead_ms", [-1e9, 1e9])
 def test_clocks_of_peers_are_not_compared(ahead_ms):
     one, other = alone(), ratelimits.RateLimits("m", lambda _: {"a": ["m"]})
     one.take_answer("i-1", 1.0, 0, 100)
-    other.hear(one.news(150), 150, 150 + ahead_ms)
-    assert other.news(160 + ahead_ms)[0].as_of_ms == 100 + ahead_ms
+    other.receive(one.updates_for_peers(150), 150, 150 + ahead_ms)
+    assert other.updates_for_peers(160 + ahead_ms)[0].as_of_ms == 100 + ahead_ms
 
 
 def test_node_tells_first_what_runners_told_it_themselves():
@@ -188,8 +189,8 @@
     one.take_answer("i-own", 1.0, 0, 100)
     for number in range(2 * ratelimits.MAX_TOLD):
         other.take_answer(f"i-{number}", 1.0, 0, 200 + number)
-        one.hear(other.news(300), 300, 300)
-    told = one.news(300)
+        one.receive(other.updates_for_peers(300), 300, 300)
+    told = one.updates_for_peers(300)
     assert len(told) == ratelimits.MAX_TOLD
     assert told[0].runner == "i-own"
 
@@ -197,6 +198,6 @@
 def test_old_limits_are_forgotten():
     limits = alone()
     limits.take_answer("i-1", 1.0, 0, 100)
-    limits.forget(101 + ratelimits.FORGOTTEN_MS)
+    limits.drop_expired(101 + ratelimits.FORGOTTEN_MS)
     assert limits.per_s("i-1") is None
     assert not limits.wait_ms("i-1", "a", 101 + ratelimits.FORGOTTEN_MS)
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -8,7 +8,7 @@
 
 
 def expected(read_ms, first_event_ms):
-    return silence.Expected(PASS_MS, LONGEST_MS, read_ms, first_event_ms)
+    return silence.ExpectedTiming(PASS_MS, LONGEST_MS, read_ms, first_event_ms)
 
 
 def streaming(detector, until_ms, start_ms=0.0):
--- a/tests/gateway/test_sourceselector.py
+++ b/tests/gateway/test_sourceselector.py
@@ -12,7 +12,7 @@
     return test_peers.message(f"n{number}",
                               place,
                               sent_ms=NOW_MS,
-                              confirmed_age_ms=age_ms,
+                              config_confirmed_age_ms=age_ms,
                               stopping=stopping,
                               **fields)
 
@@ -35,7 +35,7 @@
 
 def hear(known, *messages, at_ms=NOW_MS):
     for message in messages:
-        known.take(message, address(int(message.node[1:])), at_ms)
+        known.receive(message, address(int(message.node[1:])), at_ms)
 
 
 def test_two_nodes_of_a_data_centre_read_the_store():
@@ -76,7 +76,7 @@
     one, known = choice(9)
     known.planned_data_centres(("a",), NOW_MS)
     hear(known, peer(1), peer(2))
-    assert known.plans
+    assert known.is_planner
     assert one.choose(NOW_MS) == sourceselector.STORE
 
 
@@ -126,13 +126,13 @@
     direct = [
         own for own in nodes if choice(
             own,
-            *(peer(each, store_lost=each in lost)
+            *(peer(each, has_lost_store=each in lost)
               for each in nodes if each != own
              ))[0].choose(NOW_MS) == sourceselector.STORE and own not in lost
     ]
     assert direct == [3, 4]
     reader, _ = choice(
-        1, peer(2, store_lost=True),
+        1, peer(2, has_lost_store=True),
         *(peer(each, interval_ms=9000.0) for each in range(3, 9)))
     lose_store(reader)
     assert reader.choose(NOW_MS + sourceselector.STORE_RETRY_MS +
@@ -146,7 +146,7 @@
     for own in range(1, 40):
         one, known = choice(
             own,
-            *(peer(each, age_ms=9000.0, store_lost=True, interval_ms=9000.0)
+            *(peer(each, age_ms=9000.0, has_lost_store=True, interval_ms=9000.0)
               for each in range(1, 40)
               if each != own))
         lose_store(one)
@@ -174,7 +174,7 @@
     """
     old = {
         "age_ms": sourceselector.MAX_CONFIRMATION_AGE_MS + 500.0,
-        "store_lost": True
+        "has_lost_store": True
     }
     reader, _ = choice(0, peer(3, **old), peer(4, **old))
     lose_store(reader)
