--- a/cardamommill/experiment/modelclients.py
+++ b/cardamommill/experiment/modelclients.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from cardamommill.experiment import oracle, rightanswers
-from cardamommill.gateway import clock, eventcutter, fetching, upstream
+from cardamommill.gateway import clock, eventparser, fetching, upstream
 from cardamommill.platform import words
 
 CONNECT_MS = 1000.0
@@ -73,7 +73,7 @@
         self._target = target
         self._judge = judge
         self._attempt = attempt
-        self._cutter = eventcutter.EventCutter()
+        self._cutter = eventparser.EventParser()
 
     def on_head(self, head: upstream.Head) -> bool:
         self.head = head
@@ -203,7 +203,7 @@
                                    fetching.request_bytes(
                                        kind.method, target, headers, body),
                                    receiver,
-                                   fresh=True)
+                                   new_connection=True)
         end = await self._wait(kind, receiver, exchange, left_ms)
         self._judge.client_got(attempt, receiver.status)
         result.status = receiver.status
--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -197,11 +197,11 @@
             self.fleet.oracle.asks_for_rest(job.attempt, self.id,
                                             1000 * self.rest_s)
             rest = [(words.RETRY_AFTER, f"{self.rest_s:g}")]
-        job.reply.whole(503,
-                        [(words.ATTEMPT_ID, job.attempt),
-                         (words.NOT_EXECUTED, "1"),
-                         (words.AT_SERVER, self.id), *rest, *self._advice(job)],
-                        b"")
+        job.reply.send(503,
+                       [(words.ATTEMPT_ID, job.attempt),
+                        (words.NOT_EXECUTED, "1"),
+                        (words.AT_SERVER, self.id), *rest, *self._advice(job)],
+                       b"")
 
     def _advice(self, job: Job) -> list[tuple[str, str]]:
         """Returns what all its answers ask of its callers."""
--- a/cardamommill/experiment/modelpasses.py
+++ b/cardamommill/experiment/modelpasses.py
@@ -27,11 +27,11 @@
         assert engine is not None
         if (membership is None or membership.rank or
                 membership.state is not model.MemberState.OPEN):
-            job.reply.whole(421, [(words.INSTANCE_ID, runner.id),
-                                  (words.ATTEMPT_ID, job.attempt)], b"")
+            job.reply.send(421, [(words.INSTANCE_ID, runner.id),
+                                 (words.ATTEMPT_ID, job.attempt)], b"")
             return None
         if job.request.get(words.MODEL) != runner.served:
-            job.reply.whole(421, [(words.INSTANCE_ID, runner.id)], b"")
+            job.reply.send(421, [(words.INSTANCE_ID, runner.id)], b"")
             return None
         if len(runner.jobs) >= engine.slots * (1 + QUEUE_PART):
             runner.shed(job)
@@ -58,7 +58,7 @@
             if job.gone:
                 continue
             if job.running:
-                job.reply.break_off()
+                job.reply.abort()
             else:
                 self._runner.shed(job)
 
@@ -134,7 +134,7 @@
             job.reply.start(200, [("Content-Type", "text/event-stream"),
                                   *runner.answer_head(job)])
         if job.events_left > 0:
-            job.reply.piece(
+            job.reply.write(
                 rightanswers.event_bytes(job.request.target, job.next_id))
             job.next_id += 1
             job.events_left -= 1
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -44,13 +44,13 @@
             await asyncio.sleep(modelfleet.HEARTBEAT_MS / 1000)
 
     def _on_request(self, request: callers.CallerRequest,
-                    reply: replies.Reply) -> callers.Serving | None:
+                    reply: replies.Reply) -> callers.ActiveRequest | None:
         expected = request.get(words.EXPECT_INSTANCE)
         if expected is not None and expected != self.id:
-            reply.whole(421, [(words.INSTANCE_ID, self.id)], b"")
+            reply.send(421, [(words.INSTANCE_ID, self.id)], b"")
             return None
         if request.target == words.REPORT_PATH:
-            reply.whole(200, [], json.dumps(self.report()).encode())
+            reply.send(200, [], json.dumps(self.report()).encode())
             return None
         if request.target == words.ORDER_PATH:
             asyncio.get_running_loop().create_task(
@@ -64,7 +64,7 @@
             await asyncio.sleep(self.late_orders_ms / 1000)
             self._orders.carry_out(order)
             return
-        reply.whole(self._orders.carry_out(order), [], b"")
+        reply.send(self._orders.carry_out(order), [], b"")
 
     def _take_job(self, request: callers.CallerRequest,
                   reply: replies.Reply) -> modelfleet.Job | None:
@@ -91,9 +91,9 @@
     def _fail(self, job: modelfleet.Job) -> None:
         self.fleet.oracle.begins(job.attempt, self.id)
         if self.fault is modelfleet.Fault.ERROR:
-            job.reply.whole(500, self.answer_head(job), b"")
+            job.reply.send(500, self.answer_head(job), b"")
         else:
-            job.reply.break_off()
+            job.reply.abort()
 
     def _take_plain(self, job: modelfleet.Job) -> modelfleet.Job | None:
         if len(self.jobs) >= self.slots * PLAIN_QUEUE:
@@ -112,5 +112,5 @@
             await asyncio.sleep(self._work_ms * self.pace / 1000)
         self.jobs.remove(job)
         if not job.gone and not self.dark:
-            job.reply.whole(200, self.answer_head(job),
-                            rightanswers.plain_body(job.request.target))
+            job.reply.send(200, self.answer_head(job),
+                           rightanswers.plain_body(job.request.target))
--- a/cardamommill/experiment/modelstore.py
+++ b/cardamommill/experiment/modelstore.py
@@ -93,11 +93,11 @@
         if self.fault == "silent":
             return
         if self.fault == "reset":
-            reply.break_off()
+            reply.abort()
             return
         await asyncio.sleep(ANSWER_MS * self.slow_factor / 1000)
         if self.fault:
-            reply.whole(503, [self._era_header()], b"")
+            reply.send(503, [self._era_header()], b"")
             return
         path, _, query_text = request.target.partition("?")
         query = dict(parse.parse_qsl(query_text, keep_blank_values=True))
@@ -108,15 +108,15 @@
         }
         call = calls.get(path)
         if call is None:
-            reply.whole(404, [self._era_header()], b"")
+            reply.send(404, [self._era_header()], b"")
             return
         status, body = await call(query, request.body)
         if self._is_silent():
             # Also for calls that came before it fell silent.
             return
-        reply.whole(status, [("Content-Type", "application/json"),
-                             self._era_header()],
-                    json.dumps(body).encode())
+        reply.send(status, [("Content-Type", "application/json"),
+                            self._era_header()],
+                   json.dumps(body).encode())
 
     def _era_header(self) -> tuple[str, str]:
         return words.STORE_ERA, str(self.era)
--- a/cardamommill/experiment/virtualloop.py
+++ b/cardamommill/experiment/virtualloop.py
@@ -135,7 +135,7 @@
 def running(seed: int) -> Any:
     """Gives a loop, with the product's clock set to it."""
     loop = VirtualLoop(seed)
-    with clock.set_to(loop.now_ms):
+    with clock.override(loop.now_ms):
         try:
             yield loop
         finally:
--- a/cardamommill/gateway/admitting.py
+++ b/cardamommill/gateway/admitting.py
@@ -12,7 +12,7 @@
 UNKNOWN_TRUST_MS = 2500.0
 
 
-class Beliefs(Protocol):
+class ConfigurationState(Protocol):
     """What a node knows of the configuration, and since when."""
 
     def table(self) -> routetable.RouteTable | None:
@@ -31,19 +31,19 @@
 
     Attributes:
         route: Its route.
-        end_ms: Until when it may be kept waiting.
+        deadline_at_ms: Until when it may be kept waiting.
         tenant: Who holds its key; None where it needs none.
         key_digest: Of its key, to be looked up again.
     """
 
     route: model.Route
-    end_ms: float
+    deadline_at_ms: float
     tenant: model.Tenant | None = None
     key_digest: bytes = b""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejection:
     """A request that is answered at once.
 
     Attributes:
@@ -59,8 +59,8 @@
     retry_after_ms: float = 0.0
 
 
-def admit(node: Beliefs,
-          request: callers.CallerRequest) -> Admitted | TurnedAway:
+def admit(node: ConfigurationState,
+          request: callers.CallerRequest) -> Admitted | Rejection:
     """Returns what the configuration in force says of a request."""
     table = node.table()
     if table is None:
@@ -70,20 +70,20 @@
     if route is None:
         if stale:
             return _come_back(None, "no such route in an old view")
-        return TurnedAway(None, 404, "no such route")
+        return Rejection(None, 404, "no such route")
     if not request.get(words.ATTEMPT_ID):
-        return TurnedAway(route, 400, "no attempt id")
+        return Rejection(route, 400, "no attempt id")
     if table.needs_keys and not route.public:
         return _admit_key(node, request, route, table, stale)
     return Admitted(route, _end_ms(request, route))
 
 
-def _admit_key(node: Beliefs, request: callers.CallerRequest,
+def _admit_key(node: ConfigurationState, request: callers.CallerRequest,
                route: model.Route, table: routetable.RouteTable,
-               stale: bool) -> Admitted | TurnedAway:
+               stale: bool) -> Admitted | Rejection:
     scheme, _, key = (request.get("authorization") or "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
-        return TurnedAway(route, 401, "no key")
+        return Rejection(route, 401, "no key")
     if not node.keys_may_be_trusted():
         return _come_back(route, "keys not confirmed for too long")
     digest = configurations.key_digest(key.strip())
@@ -91,12 +91,12 @@
     if tenant is None:
         if stale:
             return _come_back(route, "unknown key in an old view")
-        return TurnedAway(route, 401, "unknown key")
+        return Rejection(route, 401, "unknown key")
     return Admitted(route, _end_ms(request, route), tenant, digest)
 
 
-def _come_back(route: model.Route | None, reason: str) -> TurnedAway:
-    return TurnedAway(route, 503, reason, DEFAULT_RETRY_AFTER_MS)
+def _come_back(route: model.Route | None, reason: str) -> Rejection:
+    return Rejection(route, 503, reason, DEFAULT_RETRY_AFTER_MS)
 
 
 def _end_ms(request: callers.CallerRequest, route: model.Route) -> float:
--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -106,11 +106,11 @@
 
     def drop_expired(self, now_ms: float) -> None:
         """Forgets old alarms."""
-        clock.forget_old(self._alarms, lambda told: told.at_ms, FORGET_MS,
-                         now_ms)
-        clock.forget_old(self._probed_ms, float, FORGET_MS, now_ms)
-        clock.forget_old(self._asked_by_peer_ms, float, FORGET_MS, now_ms)
-        clock.forget_old(self._asked_again_ms, float, FORGET_MS, now_ms)
+        clock.drop_expired(self._alarms, lambda told: told.at_ms, FORGET_MS,
+                           now_ms)
+        clock.drop_expired(self._probed_ms, float, FORGET_MS, now_ms)
+        clock.drop_expired(self._asked_by_peer_ms, float, FORGET_MS, now_ms)
+        clock.drop_expired(self._asked_again_ms, float, FORGET_MS, now_ms)
 
     def check_groups(self, now_ms: float) -> None:
         """Finds groups that have newly fallen silent, or stand still."""
--- a/cardamommill/gateway/attempts.py
+++ b/cardamommill/gateway/attempts.py
@@ -8,7 +8,7 @@
 import logbook
 
 from cardamommill import logs
-from cardamommill.gateway import eventcutter, upstream
+from cardamommill.gateway import eventparser, upstream
 from cardamommill.platform import words
 
 # The largest answer that is not a stream.
@@ -64,7 +64,7 @@
     def on_head(self, head: upstream.Head) -> None:
         """Takes the head of an answer to this request."""
 
-    def on_event(self, head: upstream.Head, event: eventcutter.Event) -> bool:
+    def on_event(self, head: upstream.Head, event: eventparser.Event) -> bool:
         """Takes a whole event; False where it does not follow the last."""
 
 
@@ -81,9 +81,9 @@
         self._sink = sink
         self._head = upstream.Head()
         self._body = bytearray()
-        self._cutter: eventcutter.EventCutter | None = None
+        self._cutter: eventparser.EventParser | None = None
 
-    def give_up(self, result: Result, reason: str) -> None:
+    def cancel(self, result: Result, reason: str) -> None:
         """Ends the try from this side; the runner sees its connection end."""
         if self.done.done():
             return
@@ -111,7 +111,7 @@
             self._sink.on_head(head)
         if self._streaming and head.status == _OK_FIRST and (
                 self._sound_success()):
-            self._cutter = eventcutter.EventCutter()
+            self._cutter = eventparser.EventParser()
         return True
 
     def on_body(self, data: bytes) -> None:
@@ -147,7 +147,7 @@
     def _complete(self) -> Outcome:
         status = self._head.status
         if self._cutter is not None:
-            if self._cutter.has_part:
+            if self._cutter.has_partial_event:
                 return Outcome(Result.BROKEN, "ended within an event")
             return Outcome(Result.STREAMED, head=self._head)
         if _OK_FIRST <= status <= _OK_LAST:
--- a/cardamommill/gateway/backpressure.py
+++ b/cardamommill/gateway/backpressure.py
@@ -129,7 +129,7 @@
     def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
         self._rate_limits.drop_expired(now_ms)
-        clock.forget_old(self._rests_until_ms, float, 0.0, now_ms)
+        clock.drop_expired(self._rests_until_ms, float, 0.0, now_ms)
 
 
 @contextlib.contextmanager
--- a/cardamommill/gateway/callers.py
+++ b/cardamommill/gateway/callers.py
@@ -38,21 +38,21 @@
 
     def get(self, name: str) -> str | None:
         """Returns the first header of a name, whatever its case."""
-        return httpheaders.first(self.headers, name)
+        return httpheaders.first_value(self.headers, name)
 
 
-class Serving(Protocol):
+class ActiveRequest(Protocol):
     """A request that is being answered."""
 
     def caller_left(self) -> None:
         """The caller closed its connection."""
 
 
-Handler = Callable[[CallerRequest, replies.Reply], Serving | None]
+Handler = Callable[[CallerRequest, replies.Reply], ActiveRequest | None]
 
 
-def served(handler: Handler, request: CallerRequest,
-           reply: replies.Reply) -> Serving | None:
+def run_handler(handler: Handler, request: CallerRequest,
+                reply: replies.Reply) -> ActiveRequest | None:
     """Has a request served; one whose handler fails is broken off.
 
     Without that its caller would wait until its time is over, or the parser,
@@ -64,7 +64,7 @@
     except Exception:
         _LOG.exception(logs.line("handler-failed", target=request.target))
         if not reply.ended:
-            reply.break_off()
+            reply.abort()
         return None
 
 
@@ -75,7 +75,7 @@
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._serving: Serving | None = None
+        self._serving: ActiveRequest | None = None
         self._busy = False
         self._waiting: deque[CallerRequest] = deque()
         self._refusing = False
@@ -232,7 +232,7 @@
         self._busy = True
         request = self._waiting.popleft()
         self._reply = reply = replies.Reply(self)
-        serving = served(self._server.handler, request, reply)
+        serving = run_handler(self._server.handler, request, reply)
         if not reply.ended:
             self._serving = serving
 
@@ -326,7 +326,7 @@
             reuse_address=True)
         self._servers.append(server)
 
-    def sweep(self, now_ms: float) -> None:
+    def enforce_timeouts(self, now_ms: float) -> None:
         """Closes idle connections and times out slow requests."""
         for connection in list(self.connections):
             if connection.part_since_ms:
--- a/cardamommill/gateway/clock.py
+++ b/cardamommill/gateway/clock.py
@@ -22,7 +22,7 @@
 
 
 @contextlib.contextmanager
-def set_to(read: Callable[[], float]) -> Iterator[None]:
+def override(read: Callable[[], float]) -> Iterator[None]:
     """Has another clock read, for runs in simulated time."""
     global _read
     before, _read = _read, read
@@ -32,8 +32,8 @@
         _read = before
 
 
-def forget_old(table: dict[_Key, _Value], at_ms: Callable[[_Value], float],
-               age_ms: float, now: float) -> None:
+def drop_expired(table: dict[_Key, _Value], at_ms: Callable[[_Value], float],
+                 age_ms: float, now: float) -> None:
     """Drops from a table what is older than an age.
 
     Args:
--- a/cardamommill/gateway/conclusion.py
+++ b/cardamommill/gateway/conclusion.py
@@ -5,21 +5,21 @@
 from cardamommill.gateway import (
     admitting,
     attempts,
-    endings,
     forwarding,
     placing,
     replies,
+    retrydecision,
 )
 
 _STATUS_TEXT = {
-    endings.Next.SAY_NOT_RUN: "not run",
-    endings.Next.SAY_UNKNOWN: "may have run; no answer came",
-    endings.Next.SAY_TIMED_OUT: "no answer in time",
+    retrydecision.NextStep.ANSWER_NOT_RUN: "not run",
+    retrydecision.NextStep.ANSWER_UNKNOWN: "may have run; no answer came",
+    retrydecision.NextStep.ANSWER_TIMED_OUT: "no answer in time",
 }
 _STATUS = {
-    endings.Next.SAY_NOT_RUN: 503,
-    endings.Next.SAY_UNKNOWN: 502,
-    endings.Next.SAY_TIMED_OUT: 504,
+    retrydecision.NextStep.ANSWER_NOT_RUN: 503,
+    retrydecision.NextStep.ANSWER_UNKNOWN: 502,
+    retrydecision.NextStep.ANSWER_TIMED_OUT: 504,
 }
 # To a caller these say that the request has not run.
 _PROMISES = frozenset({408, 429, 503})
@@ -49,12 +49,13 @@
         """Ends it for nobody."""
         self._told(0, "caller left")
 
-    def follow(self, step: endings.Next, outcome: attempts.Outcome) -> None:
+    def follow(self, step: retrydecision.NextStep,
+               outcome: attempts.Outcome) -> None:
         """Ends it after its last try."""
-        if step is endings.Next.NOTHING:
+        if step is retrydecision.NextStep.NOTHING:
             self.caller_left()
             return
-        if step is endings.Next.PASS_ON:
+        if step is retrydecision.NextStep.PASS_ON:
             self._pass_on(outcome)
             return
         if self._pass_failure_on():
@@ -63,11 +64,11 @@
         if self._reply.started:
             self._break_off(reason)
             return
-        is_promise = step is endings.Next.SAY_NOT_RUN
+        is_promise = step is retrydecision.NextStep.ANSWER_NOT_RUN
         self.refuse(_STATUS[step], reason,
                     admitting.DEFAULT_RETRY_AFTER_MS if is_promise else 0.0)
 
-    def not_placed(self, refused: placing.Refused, ran_maybe: bool) -> None:
+    def not_placed(self, refused: placing.Refused, may_have_run: bool) -> None:
         """Ends it where nobody takes it any more."""
         if self._pass_failure_on():
             return
@@ -76,7 +77,7 @@
             return
         # Of one that may have run a repeat may be wanted all the same, and is
         # of use later.
-        self.refuse(502 if ran_maybe else 503, refused.reason,
+        self.refuse(502 if may_have_run else 503, refused.reason,
                     refused.retry_after_ms)
 
     def fail(self, reason: str) -> None:
@@ -96,16 +97,16 @@
         headers = [("Content-Type", "text/plain; charset=utf-8")]
         if retry_after_ms:
             headers.append(("Retry-After", f"{retry_after_ms / 1000:.3f}"))
-        self._reply.whole(status, headers, f"{reason}\n".encode())
+        self._reply.send(status, headers, f"{reason}\n".encode())
         self._told(status, reason)
 
     def _break_off(self, reason: str) -> None:
-        self._reply.break_off()
+        self._reply.abort()
         self._told(0, f"broken off: {reason}")
 
     def _pass_on(self, outcome: attempts.Outcome) -> None:
         status = outcome.head.status
-        headers = forwarding.to_caller(outcome.head)
+        headers = forwarding.caller_headers(outcome.head)
         if outcome.result is attempts.Result.STREAMED:
             if not self._reply.started:
                 self._reply.start(status, headers)
@@ -115,7 +116,7 @@
             self.refuse(502, f"runner said {status} without a promise")
             return
         else:
-            self._reply.whole(status, headers, outcome.body)
+            self._reply.send(status, headers, outcome.body)
         self._told(status, "")
 
     def _pass_failure_on(self) -> bool:
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -162,7 +162,7 @@
         assert table is not None and one.route is not None
         refused = placing.Refused("no service",
                                   admitting.DEFAULT_RETRY_AFTER_MS)
-        for name in routetable.backends_in_order(one.route, self._chance):
+        for name in routetable.draw_backend_order(one.route, self._chance):
             service = table.configuration.services.get(name)
             if service is None:
                 continue
@@ -249,17 +249,17 @@
             return placing.no_taker(waits_ms.values(), self._chance.random())
         return relay.Target(self._plain_runners.best(takers, now_ms))
 
-    def may_repeat(self, service: str) -> bool:
+    def may_retry(self, service: str) -> bool:
         """Whether the retry budget allows one more."""
         now_ms = clock.now_ms()
         nodes = self._peers.nodes(now_ms)
-        return self._budgets.of(service).may_repeat(nodes, now_ms)
+        return self._budgets.for_service(service).may_retry(nodes, now_ms)
 
     def attempt_begins(self, one: relay.Relay, target: relay.Target,
                        repeat: bool) -> None:
         """Notes a try."""
         now_ms = clock.now_ms()
-        budget = self._budgets.of(one.service)
+        budget = self._budgets.for_service(one.service)
         if repeat:
             budget.repeat(now_ms)
             self._metrics.count("repeats_total", service=one.service)
@@ -330,7 +330,7 @@
             return
         if sent_ms is not None and self._is_to_blame(one, target, outcome,
                                                      now_ms - sent_ms):
-            self.reliability.failed(runner, forwarding.mark(one.request),
+            self.reliability.failed(runner, forwarding.fingerprint(one.request),
                                     now_ms)
         _LOG.info(
             logs.line("attempt-failed",
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -19,7 +19,7 @@
     fleetview,
     freshness,
     groupcontroller,
-    holding,
+    heldrequests,
     loadsums,
     model,
     nodelink,
@@ -29,13 +29,13 @@
     peertables,
     planning,
     platformreader,
-    questions,
     relay,
     replies,
     routetable,
     settingsfile,
     sourceselector,
     standing,
+    statuspages,
     tablecopies,
     tablereader,
     upstream,
@@ -82,7 +82,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = callers.CallerServer(self._on_request, self._on_refused)
         self._questions = callers.CallerServer(
-            questions.Questions(self._ready, self.metrics).answer,
+            statuspages.StatusPages(self._ready, self.metrics).answer,
             self._on_refused)
         self._freshness = freshness.Freshness(settings.bounds.revoke_ms)
         self._store = storecalls.Store(self.pool,
@@ -193,13 +193,13 @@
     # Callers.
 
     def _on_request(self, request: callers.CallerRequest,
-                    reply: replies.Reply) -> callers.Serving | None:
+                    reply: replies.Reply) -> callers.ActiveRequest | None:
         self._requests_seen = True
         if self._has_left_rotation(clock.now_ms()):
             # It could not be finished before the process is ended by force: a
             # stream that began 6 s after SIGTERM was cut in the middle.
-            reply.whole(503, [("Retry-After", f"{STOPPED_RETRY_AFTER_S:.3f}")],
-                        b"this node is stopping; not run\n")
+            reply.send(503, [("Retry-After", f"{STOPPED_RETRY_AFTER_S:.3f}")],
+                       b"this node is stopping; not run\n")
             self.metrics.count("requests_refused_stopping_total")
             _LOG.info(
                 logs.line("request-refused-stopping",
@@ -207,15 +207,15 @@
             return None
         if self._knows_what_it_serves():
             return self._serve(request, reply)
-        held = holding.Held(self._serve, request, reply)
-        self.spawn(held.wait(self._knows_what_it_serves))
+        held = heldrequests.HeldRequest(self._serve, request, reply)
+        self.spawn(held.serve_when_ready(self._knows_what_it_serves))
         return held
 
     def _knows_what_it_serves(self) -> bool:
         return self._reader.table is not None and self.view.list_as_of_ms > 0
 
     def _serve(self, request: callers.CallerRequest,
-               reply: replies.Reply) -> callers.Serving | None:
+               reply: replies.Reply) -> callers.ActiveRequest | None:
         one = relay.Relay(self._requests, request, reply)
         if not one.begin():
             return None
@@ -321,10 +321,10 @@
             self._requests.look_at_peers(self._far_loads.loads(now_ms), now_ms)
             self._plan(now_ms)
         if self._ticks % SWEEP_EVERY_TICKS == 0:
-            self._server.sweep(now_ms)
-            self._questions.sweep(now_ms)
-            self._rows.sweep(now_ms)
-            self.pool.trim()
+            self._server.enforce_timeouts(now_ms)
+            self._questions.enforce_timeouts(now_ms)
+            self._rows.enforce_timeouts(now_ms)
+            self.pool.close_expired()
             if self._settings_file.has_changed:
                 self._reload("the file changed")
             self._alarms.drop_expired(now_ms)
--- a/cardamommill/gateway/eventcutter.py
+++ b/cardamommill/gateway/eventparser.py
@@ -14,14 +14,14 @@
     id: int | None
 
 
-class EventCutter:
+class EventParser:
     """Collects bytes and gives out whole events."""
 
     def __init__(self) -> None:
         self._rest = bytearray()
 
     @property
-    def has_part(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun and not ended."""
         return bool(self._rest)
 
--- a/cardamommill/gateway/fetching.py
+++ b/cardamommill/gateway/fetching.py
@@ -54,10 +54,10 @@
                 address: upstream.Address,
                 request: bytes,
                 timeout_ms: float,
-                fresh: bool = False) -> Answer:
+                new_connection: bool = False) -> Answer:
     """Returns the whole answer to a small request of this node's own."""
     collector = _Collector(request)
-    exchange = pool.send(address, request, collector, fresh)
+    exchange = pool.send(address, request, collector, new_connection)
     try:
         return await asyncio.wait_for(collector.future, timeout_ms / 1000)
     except TimeoutError:
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -32,7 +32,7 @@
 _NOT_PASSED_ON = _HOP_HEADERS | _OWN_HEADERS
 
 
-def to_runner(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
+def runner_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Returns a caller's headers without those that this node sets itself."""
     dropped = _NOT_PASSED_ON
     for name, value in headers:
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class AttemptParameters:
     """On what terms a runner gets a request.
 
     Attributes:
@@ -68,7 +68,8 @@
     return urgent + URGENT_RANKS if patient else urgent
 
 
-def request_bytes(request: callers.CallerRequest, terms: Terms) -> bytes:
+def request_bytes(request: callers.CallerRequest,
+                  terms: AttemptParameters) -> bytes:
     """Returns a request as a runner gets it."""
     left_ms = max(1, int(terms.left_ms - DEADLINE_MARGIN_MS))
     own = [(words.DEADLINE_MS, str(left_ms)),
@@ -80,11 +81,11 @@
     if terms.last_event_id is not None:
         own.append((words.LAST_EVENT_ID, str(terms.last_event_id)))
     return fetching.request_bytes(request.method, request.target,
-                                  to_runner(request.headers) + own,
+                                  runner_headers(request.headers) + own,
                                   request.body)
 
 
-def to_caller(head: upstream.Head) -> list[tuple[str, str]]:
+def caller_headers(head: upstream.Head) -> list[tuple[str, str]]:
     """Returns the headers of a runner's answer that its caller gets."""
     return [(name, value)
             for name, value in head.headers
@@ -104,7 +105,7 @@
     return placing.Work(numbers[0], min(hint or numbers[1], numbers[1]))
 
 
-def mark(request: callers.CallerRequest) -> int:
+def fingerprint(request: callers.CallerRequest) -> int:
     """Returns what is the same when the same request is sent again."""
     counts = request.get(words.TOKEN_COUNTS) or ""
     named = f"{request.method} {request.target} {counts}"
--- a/cardamommill/gateway/holding.py
+++ b/cardamommill/gateway/heldrequests.py
@@ -8,11 +8,11 @@
 # A node reads the configuration and the list within some ms of its start, and
 # callers whose connections broke are back before that. Told to come back, they
 # lose a quarter of a second and mostly their only other try.
-HELD_MS = 250.0
-LOOK_MS = 5.0
+MAX_HOLD_MS = 250.0
+POLL_INTERVAL_MS = 5.0
 
 
-class Held:
+class HeldRequest:
     """One request, until its node can serve it or for a short while.
 
     Attributes:
@@ -31,21 +31,21 @@
         self._handler = handler
         self._request = request
         self._reply = reply
-        self._serving: callers.Serving | None = None
+        self._serving: callers.ActiveRequest | None = None
         self.left = False
 
     def caller_left(self) -> None:
-        """Gives up; see `callers.Serving`."""
+        """Gives up; see `callers.ActiveRequest`."""
         self.left = True
         if self._serving is not None:
             self._serving.caller_left()
 
-    async def wait(self, may_serve: Callable[[], bool]) -> None:
+    async def serve_when_ready(self, may_serve: Callable[[], bool]) -> None:
         """Serves the request once it may be, and after a while in any case."""
-        looks = int(HELD_MS / LOOK_MS)
+        looks = int(MAX_HOLD_MS / POLL_INTERVAL_MS)
         while looks and not may_serve():
             looks -= 1
-            await asyncio.sleep(LOOK_MS / 1000)
+            await asyncio.sleep(POLL_INTERVAL_MS / 1000)
         if not self.left:
-            self._serving = callers.served(self._handler, self._request,
-                                           self._reply)
+            self._serving = callers.run_handler(self._handler, self._request,
+                                                self._reply)
--- a/cardamommill/gateway/openedgroups.py
+++ b/cardamommill/gateway/openedgroups.py
@@ -49,5 +49,5 @@
 
     def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
-        clock.forget_old(self._opened, lambda opened: opened[0], _FORGOTTEN_MS,
-                         now_ms)
+        clock.drop_expired(self._opened, lambda opened: opened[0],
+                           _FORGOTTEN_MS, now_ms)
--- a/cardamommill/gateway/peertables.py
+++ b/cardamommill/gateway/peertables.py
@@ -166,7 +166,7 @@
         self._spawn = spawn
 
     def on_request(self, request: callers.CallerRequest,
-                   reply: replies.Reply) -> callers.Serving | None:
+                   reply: replies.Reply) -> callers.ActiveRequest | None:
         """Answers at once, or once there is news."""
         path, _, query = request.target.partition("?")
         fields = dict(parse.parse_qsl(query))
@@ -178,10 +178,10 @@
                 min(MAX_WAIT_MS, float(fields.get("wait_ms", 0))),
                 clock.now_ms())
         except (KeyError, ValueError):
-            reply.whole(400, [], b"no table, or no number\n")
+            reply.send(400, [], b"no table, or no number\n")
             return None
         if path != PATH:
-            reply.whole(404, [], b"no such page\n")
+            reply.send(404, [], b"no such page\n")
             return None
         table = self._copies.table(name)
         if table.is_loaded and question.after is None:
@@ -209,7 +209,7 @@
     if table.is_loaded:
         _answer(reply, table, table.whole(), question)
     else:
-        reply.whole(_UNREADY, [], b"not read yet\n")
+        reply.send(_UNREADY, [], b"not read yet\n")
 
 
 async def _answer_changes(reply: replies.Reply, table: tablecopies.TableCopy,
@@ -218,7 +218,7 @@
     while not waiting.left:
         rows = table.changes_since(question.after or 0)
         if rows is None or question.is_of_other_era(table.era):
-            reply.whole(_GONE, [], b"forgotten\n")
+            reply.send(_GONE, [], b"forgotten\n")
             return
         left_ms = until_ms - clock.now_ms()
         if rows or left_ms <= 0:
@@ -242,4 +242,4 @@
     if question.era is not None:
         told.append(table.era)
     body = msgpack.packb(told)
-    reply.whole(_OK, [("Content-Type", "application/msgpack")], body)
+    reply.send(_OK, [("Content-Type", "application/msgpack")], body)
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -48,7 +48,7 @@
 
     def drop_expired(self, now_ms: float) -> None:
         """Forgets old faults."""
-        clock.forget_old(self._faults_ms, float, 10 * FAULT_MS, now_ms)
+        clock.drop_expired(self._faults_ms, float, 10 * FAULT_MS, now_ms)
 
     def best(self, usable: Iterable[fleetview.RunnerRecord],
              now_ms: float) -> fleetview.RunnerRecord:
--- a/cardamommill/gateway/ratelimits.py
+++ b/cardamommill/gateway/ratelimits.py
@@ -257,8 +257,8 @@
 
     def drop_expired(self, now_ms: float) -> None:
         """Forgets what is old."""
-        clock.forget_old(self._limits, lambda limit: limit.as_of_ms,
-                         FORGOTTEN_MS, now_ms)
+        clock.drop_expired(self._limits, lambda limit: limit.as_of_ms,
+                           FORGOTTEN_MS, now_ms)
         for runner in self._buckets.keys() - self._limits.keys():
             del self._buckets[runner]
 
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -15,14 +15,14 @@
     callers,
     clock,
     conclusion,
-    endings,
-    eventcutter,
+    eventparser,
     fleetview,
     forwarding,
     httpheaders,
     model,
     placing,
     replies,
+    retrydecision,
     streamprogress,
     upstream,
 )
@@ -57,7 +57,7 @@
         return str(self.key) if self.key else self.known.runner.id
 
 
-class Surroundings(admitting.Beliefs, Protocol):
+class Surroundings(admitting.ConfigurationState, Protocol):
     """What a relay needs of its node."""
 
     pool: upstream.Pool
@@ -68,7 +68,7 @@
     def find_target(self, relay: "Relay") -> Target | placing.Refused:
         """Returns where a request goes next."""
 
-    def may_repeat(self, service: str) -> bool:
+    def may_retry(self, service: str) -> bool:
         """Whether the retry budget allows one more."""
 
     def attempt_begins(self, relay: "Relay", target: Target,
@@ -112,7 +112,7 @@
         self._try_sent_ms = 0.0
         # Whether the group that the try is at lost a member.
         self._is_dead = False
-        self.end_ms = math.inf
+        self.deadline_at_ms = math.inf
         self.progress = streamprogress.StreamProgress(
             httpheaders.number(request.get(words.LAST_EVENT_ID)))
         self.first_event_ms = 0.0
@@ -131,13 +131,13 @@
         """Admits the request or answers it; True where it goes on."""
         found = admitting.admit(self._node, self.request)
         self.route = found.route
-        if isinstance(found, admitting.TurnedAway):
+        if isinstance(found, admitting.Rejection):
             self._conclusion.refuse(found.status, found.reason,
                                     found.retry_after_ms)
             return False
         self.tenant = found.tenant
         self._key_digest = found.key_digest
-        self.end_ms = found.end_ms
+        self.deadline_at_ms = found.deadline_at_ms
         return True
 
     def key_still_holds(self) -> bool:
@@ -151,7 +151,7 @@
                 table.tenant(self._key_digest) is not None)
 
     @property
-    def ran_maybe(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether any try may have run it."""
         return bool(self.ran_at)
 
@@ -172,7 +172,7 @@
     def wish(self, spread: float) -> placing.Wish:
         """Returns what the request needs to be of use, as of now."""
         now_ms = clock.now_ms()
-        left_ms = self.end_ms - now_ms
+        left_ms = self.deadline_at_ms - now_ms
         if self.reply.started or self.route is None or not self.route.goal_ms:
             return placing.Wish(left_ms, left_ms, left_ms, spread)
         goal_ms = self.request.arrived_ms + self.route.goal_ms - now_ms
@@ -188,7 +188,7 @@
         """Gives up at once: a runner that works on takes others' places."""
         self.left = True
         if self._attempt is not None:
-            self._attempt.give_up(attempts.Result.ABANDONED, "caller left")
+            self._attempt.cancel(attempts.Result.ABANDONED, "caller left")
 
     def divert(self, reason: str, is_dead: bool = False) -> None:
         """Leaves the group that it is at once all is there to go on.
@@ -217,7 +217,7 @@
         target = self._way_on()
         if target is not None or (self._is_dead and not self.reply.started):
             self._reserved = target
-            attempt.give_up(attempts.Result.DIVERTED, reason)
+            attempt.cancel(attempts.Result.DIVERTED, reason)
             return
         self._leaving = asyncio.get_running_loop().call_later(
             RESUME_LOOK_MS / 1000, self._leave, attempt, reason)
@@ -253,22 +253,22 @@
         while True:
             target = await self._next_target()
             if isinstance(target, placing.Refused):
-                self._conclusion.not_placed(target, self.ran_maybe)
+                self._conclusion.not_placed(target, self.may_have_run)
                 return
             if target is None:
                 self._conclusion.caller_left()
                 return
             outcome = await self._try(target)
-            state = endings.State(
+            state = retrydecision.RequestState(
                 self.route is not None and self.route.repeatable,
-                self.ran_maybe, self._may_go_elsewhere(), self.reply.started)
-            step = endings.after(outcome.result, state)
+                self.may_have_run, self._may_go_elsewhere(), self.reply.started)
+            step = retrydecision.next_step(outcome.result, state)
             if outcome.result is attempts.Result.FAILED:
                 self._conclusion.note_failure(outcome)
             if self.left:
                 self._conclusion.caller_left()
                 return
-            if step is not endings.Next.ELSEWHERE:
+            if step is not retrydecision.NextStep.RETRY:
                 self._conclusion.follow(step, outcome)
                 return
 
@@ -282,7 +282,7 @@
             now_ms = clock.now_ms()
             if self.left:
                 return None
-            if now_ms >= self.end_ms:
+            if now_ms >= self.deadline_at_ms:
                 # Its caller has left, also where the close is still under way.
                 return placing.Refused("out of time",
                                        admitting.DEFAULT_RETRY_AFTER_MS)
@@ -307,7 +307,7 @@
         self._target = target
         self._node.attempt_begins(self, target, bool(self.tried))
         self.tried.append(target)
-        self.progress.begin_try()
+        self.progress.begin_attempt()
         self._is_dead = False
         runner = target.known.runner
         self._try_sent_ms = now_ms = clock.now_ms()
@@ -315,9 +315,9 @@
         attempt.exchange = self._node.pool.send((runner.host, runner.port),
                                                 self._bytes(target, now_ms),
                                                 attempt,
-                                                fresh=not repeatable)
+                                                new_connection=not repeatable)
         timer = asyncio.get_running_loop().call_later(
-            max(0.0, self.end_ms - now_ms) / 1000, attempt.give_up,
+            max(0.0, self.deadline_at_ms - now_ms) / 1000, attempt.cancel,
             attempts.Result.TIMED_OUT, "out of time")
         try:
             outcome = self._checked(await attempt.done)
@@ -325,7 +325,7 @@
             timer.cancel()
             self._stay()
             self._attempt = None
-        if endings.may_have_run(outcome.result):
+        if retrydecision.may_have_run(outcome.result):
             self.ran_at.append(target)
             diverted = outcome.result is attempts.Result.DIVERTED
             if self._may_be_at_work() or not diverted:
@@ -340,7 +340,7 @@
         complete, with events missing.
         """
         if (outcome.result is attempts.Result.STREAMED and
-                self.progress.is_behind):
+                self.progress.is_replaying):
             return attempts.Outcome(attempts.Result.BROKEN,
                                     "ended before what the caller has")
         return outcome
@@ -353,7 +353,7 @@
         groups in a row used up the attempts of a request that none had begun.
         One whose members all answer may hold what it runs.
         """
-        return (not self.streaming or self.progress.try_events > 0 or
+        return (not self.streaming or self.progress.attempt_events > 0 or
                 not self._is_dead)
 
     def _may_go_elsewhere(self, leaving: bool = False) -> bool:
@@ -362,14 +362,14 @@
         if self.reply.started and self.progress.last_event_id is None:
             # Nothing tells another runner where to go on.
             return False
-        if self.end_ms - clock.now_ms() < MIN_LEFT_MS:
+        if self.deadline_at_ms - clock.now_ms() < MIN_LEFT_MS:
             return False
         # A runner that ended meanwhile does not count.
         counted = leaving + sum(
             not each.known.down_ms for each in self._begun_at)
         if counted >= self.route.max_attempts:
             return False
-        return self._node.may_repeat(self.service)
+        return self._node.may_retry(self.service)
 
     def _bytes(self, target: Target, now_ms: float) -> bytes:
         rank = None
@@ -378,9 +378,10 @@
             rank = forwarding.queue_rank(self.priority, patient)
         return forwarding.request_bytes(
             self.request,
-            forwarding.Terms(target.known.runner.id, self.end_ms - now_ms,
-                             self.tenant.name if self.tenant else None, rank,
-                             self.progress.last_event_id))
+            forwarding.AttemptParameters(
+                target.known.runner.id, self.deadline_at_ms - now_ms,
+                self.tenant.name if self.tenant else None, rank,
+                self.progress.last_event_id))
 
     # Answers.
 
@@ -389,16 +390,16 @@
         assert self._target is not None
         self._node.head_came(self, self._target, head, self._try_sent_ms)
 
-    def on_event(self, head: upstream.Head, event: eventcutter.Event) -> bool:
+    def on_event(self, head: upstream.Head, event: eventparser.Event) -> bool:
         """Passes an event on, if it is the next one."""
         assert self._target is not None
         self._stay()
         self._node.event_came(self, self._target)
-        order = self.progress.take(event)
-        if order is not streamprogress.Order.NEXT:
-            return order is streamprogress.Order.REPEATED
+        order = self.progress.record(event)
+        if order is not streamprogress.EventPosition.NEXT:
+            return order is streamprogress.EventPosition.REPEATED
         if not self.reply.started:
             self.first_event_ms = clock.now_ms()
-            self.reply.start(head.status, forwarding.to_caller(head))
-        self.reply.piece(event.data)
+            self.reply.start(head.status, forwarding.caller_headers(head))
+        self.reply.write(event.data)
         return True
--- a/cardamommill/gateway/reliability.py
+++ b/cardamommill/gateway/reliability.py
@@ -180,13 +180,13 @@
     def drop_expired(self, now_ms: float) -> None:
         """Forgets what weighs next to nothing."""
         for runner, failures in list(self._failures.items()):
-            clock.forget_old(failures, float, FORGOTTEN_MS, now_ms)
+            clock.drop_expired(failures, float, FORGOTTEN_MS, now_ms)
             if not failures:
                 del self._failures[runner], self._memory[runner]
                 self._peers_well.pop(runner, None)
-        clock.forget_old(self._own_failed_ms, float, FORGOTTEN_MS, now_ms)
-        clock.forget_old(self._well_ms, lambda times: times[-1], FORGOTTEN_MS,
-                         now_ms)
+        clock.drop_expired(self._own_failed_ms, float, FORGOTTEN_MS, now_ms)
+        clock.drop_expired(self._well_ms, lambda times: times[-1], FORGOTTEN_MS,
+                           now_ms)
 
     def _note(self, runner: str, request: int, at_ms: float) -> None:
         if runner not in self._failures:
--- a/cardamommill/gateway/replies.py
+++ b/cardamommill/gateway/replies.py
@@ -83,8 +83,8 @@
         """Whether nothing more may be sent."""
         return self._sent is _Sent.ALL
 
-    def whole(self, status: int, headers: list[tuple[str, str]],
-              body: bytes) -> None:
+    def send(self, status: int, headers: list[tuple[str, str]],
+             body: bytes) -> None:
         """Sends an answer at once."""
         self._take(_Step.WHOLE)
         self.said_close = self._connection.closing
@@ -102,7 +102,7 @@
             head_bytes(status, [*headers, ("Transfer-Encoding", "chunked")],
                        self.said_close))
 
-    def piece(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Sends a piece."""
         self._take(_Step.PIECE)
         self._connection.write(b"%x\r\n%b\r\n" % (len(data), data))
@@ -113,7 +113,7 @@
         self._connection.write(b"0\r\n\r\n")
         self._connection.answered()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Ends an answer that is not complete so that it looks like that."""
         self._take(_Step.BREAK_OFF)
         self._connection.abort()
--- a/cardamommill/gateway/retrybudget.py
+++ b/cardamommill/gateway/retrybudget.py
@@ -6,7 +6,7 @@
 
 # Nodes do not see each other's retries in time, so each keeps to its part.
 # What is left over covers a node that counted one peer too few.
-SAFE_PART = 0.8
+SHARE_SAFETY_FACTOR = 0.8
 
 
 class RetryBudget:
@@ -31,11 +31,11 @@
         self._first.append(now_ms)
         self._trim(now_ms)
 
-    def may_repeat(self, nodes: int, now_ms: float) -> bool:
+    def may_retry(self, nodes: int, now_ms: float) -> bool:
         """Whether one more repeat keeps to this node's part."""
         self._trim(now_ms)
         allowed = (self._ratio * len(self._first) +
-                   self._slack / max(1, nodes)) * SAFE_PART
+                   self._slack / max(1, nodes)) * SHARE_SAFETY_FACTOR
         return len(self._repeats) + 1 <= allowed
 
     def repeat(self, now_ms: float) -> None:
@@ -56,7 +56,7 @@
         self._bounds = bounds
         self._budgets: dict[str, RetryBudget] = {}
 
-    def of(self, service: str) -> RetryBudget:
+    def for_service(self, service: str) -> RetryBudget:
         """Returns the budget of a service, new with its first use."""
         if service not in self._budgets:
             bounds = self._bounds
--- a/cardamommill/gateway/endings.py
+++ b/cardamommill/gateway/retrydecision.py
@@ -6,31 +6,31 @@
 from cardamommill.gateway.attempts import Result
 
 
-class Next(enum.Enum):
+class NextStep(enum.Enum):
     """What to do after a try."""
 
     PASS_ON = "pass-on"
-    ELSEWHERE = "elsewhere"
-    SAY_NOT_RUN = "say-not-run"
-    SAY_UNKNOWN = "say-unknown"
-    SAY_TIMED_OUT = "say-timed-out"
+    RETRY = "elsewhere"
+    ANSWER_NOT_RUN = "say-not-run"
+    ANSWER_UNKNOWN = "say-unknown"
+    ANSWER_TIMED_OUT = "say-timed-out"
     NOTHING = "nothing"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class RequestState:
     """What a request may still do.
 
     Attributes:
         repeatable: Whether it may run more than once.
-        ran_maybe: Whether any try may have run it.
-        may_go_elsewhere: Whether tries, budget and time allow another.
+        may_have_run: Whether any try may have run it.
+        may_retry: Whether tries, budget and time allow another.
         begun: Whether the caller has got a part of the answer.
     """
 
     repeatable: bool
-    ran_maybe: bool
-    may_go_elsewhere: bool
+    may_have_run: bool
+    may_retry: bool
     begun: bool = False
 
 
@@ -39,9 +39,9 @@
 _DID_NOT_RUN = frozenset({Result.NOT_RUN, Result.UNSENT})
 # What follows whatever else is the case.
 _FINAL = {
-    Result.STREAMED: Next.PASS_ON,
-    Result.ABANDONED: Next.NOTHING,
-    Result.TIMED_OUT: Next.SAY_TIMED_OUT,
+    Result.STREAMED: NextStep.PASS_ON,
+    Result.ABANDONED: NextStep.NOTHING,
+    Result.TIMED_OUT: NextStep.ANSWER_TIMED_OUT,
 }
 # What is a whole answer of the runner. None may follow events: a stream whose
 # second runner answered with a failure got that answer's bytes as if they were
@@ -49,17 +49,18 @@
 _WHOLE = frozenset({Result.ANSWERED, Result.FAILED})
 
 
-def after(result: Result, state: State) -> Next:
+def next_step(result: Result, state: RequestState) -> NextStep:
     """Returns what follows a try."""
     if result in _FINAL:
         return _FINAL[result]
     if result is Result.ANSWERED and not state.begun:
-        return Next.PASS_ON
-    if state.may_go_elsewhere and (result in _DID_NOT_RUN or state.repeatable):
-        return Next.ELSEWHERE
+        return NextStep.PASS_ON
+    if state.may_retry and (result in _DID_NOT_RUN or state.repeatable):
+        return NextStep.RETRY
     if result in _WHOLE and not state.begun:
-        return Next.PASS_ON
-    return Next.SAY_UNKNOWN if state.ran_maybe else Next.SAY_NOT_RUN
+        return NextStep.PASS_ON
+    return (NextStep.ANSWER_UNKNOWN
+            if state.may_have_run else NextStep.ANSWER_NOT_RUN)
 
 
 def may_have_run(result: Result) -> bool:
--- a/cardamommill/gateway/routetable.py
+++ b/cardamommill/gateway/routetable.py
@@ -47,7 +47,7 @@
         return bool(self.configuration.tenants)
 
 
-def backends_in_order(route: model.Route, chance: random.Random) -> list[str]:
+def draw_backend_order(route: model.Route, chance: random.Random) -> list[str]:
     """Returns the services of a route, one drawn by weight first."""
     left = list(route.backends)
     order = []
--- a/cardamommill/gateway/questions.py
+++ b/cardamommill/gateway/statuspages.py
@@ -9,7 +9,7 @@
 METRICS_PATH = "/metrics"
 
 
-class Questions:
+class StatusPages:
     """Pages that are not for callers."""
 
     def __init__(self, is_ready: Callable[[], bool],
@@ -21,7 +21,7 @@
                reply: replies.Reply) -> None:
         """Answers one; it never goes to a runner."""
         status, body = self._page(request.target)
-        reply.whole(status, [("Content-Type", "text/plain")], body)
+        reply.send(status, [("Content-Type", "text/plain")], body)
 
     def _page(self, target: str) -> tuple[int, bytes]:
         if target == words.READY_PATH:
--- a/cardamommill/gateway/streamprogress.py
+++ b/cardamommill/gateway/streamprogress.py
@@ -2,10 +2,10 @@
 
 import enum
 
-from cardamommill.gateway import eventcutter
+from cardamommill.gateway import eventparser
 
 
-class Order(enum.Enum):
+class EventPosition(enum.Enum):
     """How an event stands to those that the caller has."""
 
     NEXT = "next"
@@ -22,7 +22,7 @@
         last_event_id: The newest id that the caller has; None where it has no
             event, or none with an id.
         events: How many went to the caller here.
-        try_events: How many the try has brought, those it had included.
+        attempt_events: How many the try has brought, those it had included.
     """
 
     def __init__(self, last_event_id: int | None) -> None:
@@ -33,30 +33,30 @@
         """
         self.last_event_id = last_event_id
         self.events = 0
-        self.try_events = 0
+        self.attempt_events = 0
         self._try_last_id: int | None = None
 
-    def begin_try(self) -> None:
+    def begin_attempt(self) -> None:
         """Notes that another try begins."""
-        self.try_events = 0
+        self.attempt_events = 0
         self._try_last_id = None
 
     @property
-    def is_behind(self) -> bool:
+    def is_replaying(self) -> bool:
         """Whether the try has not come up to what the caller has."""
         return (self._try_last_id is not None and
                 self._try_last_id < (self.last_event_id or 0))
 
-    def take(self, event: eventcutter.Event) -> Order:
+    def record(self, event: eventparser.Event) -> EventPosition:
         """Takes an event of the try; only the next one goes on."""
-        self.try_events += 1
+        self.attempt_events += 1
         if event.id is not None:
             self._try_last_id = event.id
             if self.last_event_id is not None:
                 if event.id <= self.last_event_id:
-                    return Order.REPEATED
+                    return EventPosition.REPEATED
                 if event.id > self.last_event_id + 1:
-                    return Order.GAP
+                    return EventPosition.GAP
             self.last_event_id = event.id
         self.events += 1
-        return Order.NEXT
+        return EventPosition.NEXT
--- a/cardamommill/gateway/upstream.py
+++ b/cardamommill/gateway/upstream.py
@@ -51,7 +51,7 @@
 
     def get(self, name: str) -> str | None:
         """Returns the first header of a name, whatever its case."""
-        return httpheaders.first(self.headers, name)
+        return httpheaders.first_value(self.headers, name)
 
 
 class Receiver(Protocol):
@@ -109,7 +109,7 @@
         if transport is None or transport.is_closing():
             self._finish(Ending.NOT_SENT, "closed before it was sent")
 
-    def give_up(self, receiver: Receiver) -> None:
+    def cancel(self, receiver: Receiver) -> None:
         """Closes the connection if this receiver waits on it.
 
         Closed for an exchange that had ended, it took the next one with it.
@@ -292,19 +292,20 @@
              address: Address,
              request: bytes,
              receiver: Receiver,
-             fresh: bool = False) -> "Exchange":
+             new_connection: bool = False) -> "Exchange":
         """Sends a request; returns what can cancel it.
 
         Args:
             address: The peer.
             request: Head and body.
             receiver: Who takes the answer.
-            fresh: Whether a kept connection won't do; the new one is not kept.
+            new_connection: Whether a kept connection won't do; the new one is
+                not kept.
         """
         exchange = Exchange(receiver)
-        connection = None if fresh else self._take(address)
+        connection = None if new_connection else self._take(address)
         # Kept though none takes them, they made a runner reset the next one.
-        on_idle = Connection.close if fresh else (
+        on_idle = Connection.close if new_connection else (
             lambda one: self._idle.setdefault(address, []).append(one))
         if connection is not None:
             exchange.connection = connection
@@ -324,7 +325,7 @@
         """Whether a request to a peer needs no new connection."""
         return any(each.usable for each in self._idle.get(address, ()))
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """Closes what has been idle for too long."""
         for address, connections in list(self._idle.items()):
             kept = [each for each in connections if each.usable]
@@ -382,4 +383,4 @@
         """Gives up; the receiver hears nothing if nothing was sent."""
         self.cancelled = True
         if self.connection is not None:
-            self.connection.give_up(self._receiver)
+            self.connection.cancel(self._receiver)
--- a/cardamommill/platform/advice.py
+++ b/cardamommill/platform/advice.py
@@ -24,7 +24,7 @@
     Raises:
         BadPeerMessage: The header holds no decimal number.
     """
-    text = httpheaders.first(headers, words.SERVER_LIMIT)
+    text = httpheaders.first_value(headers, words.SERVER_LIMIT)
     return None if text is None else _decimal(words.SERVER_LIMIT, text, runner)
 
 
@@ -38,7 +38,7 @@
     Raises:
         BadPeerMessage: The header says neither yes nor no.
     """
-    text = httpheaders.first(headers, words.SERVER_LEAVING) or _NO
+    text = httpheaders.first_value(headers, words.SERVER_LEAVING) or _NO
     if text.strip() not in (_YES, _NO):
         raise _malformed(words.SERVER_LEAVING, f"neither yes nor no: {text!r}",
                          runner)
@@ -55,7 +55,7 @@
     Raises:
         BadPeerMessage: The header holds no decimal number of seconds.
     """
-    text = httpheaders.first(headers, words.RETRY_AFTER)
+    text = httpheaders.first_value(headers, words.RETRY_AFTER)
     if text is None:
         return 0.0
     return units.MS_PER_S * _decimal(words.RETRY_AFTER, text, runner)
--- a/tests/experiment/test_modelclients.py
+++ b/tests/experiment/test_modelclients.py
@@ -54,7 +54,7 @@
         reply.start(200, [(words.ATTEMPT_ID, request.get(words.ATTEMPT_ID)),
                           (words.SEAL, "s")])
         for number in (1, 2):
-            reply.piece(rightanswers.event_bytes(request.target, number))
+            reply.write(rightanswers.event_bytes(request.target, number))
         connection = next(iter(server.connections))
         connection.write(behind_events)
         connection.close()
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -164,12 +164,13 @@
 
 
 def test_limit_of_tries_is_what_keeps_requests_from_running_twice(monkeypatch):
-    monkeypatch.setattr(relay.endings, "may_have_run", lambda result: False)
+    monkeypatch.setattr(relay.retrydecision, "may_have_run",
+                        lambda result: False)
     monkeypatch.setattr(
-        relay.endings, "after",
-        lambda result, state: relay.endings.Next.ELSEWHERE
-        if result.value == "broken" else relay.endings._FINAL.get(
-            result, relay.endings.Next.SAY_NOT_RUN))
+        relay.retrydecision, "next_step",
+        lambda result, state: relay.retrydecision.NextStep.RETRY
+        if result.value == "broken" else relay.retrydecision._FINAL.get(
+            result, relay.retrydecision.NextStep.ANSWER_NOT_RUN))
     outcome = play(
         trouble("burst", 0.5, for_s=7, factor=3),
         *(trouble("plain_cut", 1 + 0.5 * number) for number in range(10)))
--- a/tests/gateway/relays.py
+++ b/tests/gateway/relays.py
@@ -5,7 +5,7 @@
 
 from cardamommill.gateway import (
     callers,
-    eventcutter,
+    eventparser,
     model,
     placing,
     relay,
@@ -41,7 +41,7 @@
     def ended(self):
         return bool(self.ending)
 
-    def whole(self, status, headers, body):
+    def send(self, status, headers, body):
         assert not self.started, "a whole answer within another one"
         self.status, self.headers = status, headers
         self.wholes.append(body)
@@ -53,15 +53,15 @@
         self.status, self.headers = status, headers
         self.started = True
 
-    def piece(self, data):
+    def write(self, data):
         assert self.started and not self.ended
-        self.events.append(eventcutter.event_id(data))
+        self.events.append(eventparser.event_id(data))
 
     def end(self):
         assert not self.ended
         self.ending = "whole"
 
-    def break_off(self):
+    def abort(self):
         assert not self.ended
         self.ending = "broken off"
 
@@ -135,8 +135,8 @@
             for number in range(9)
         ]
 
-    def send(self, address, request, receiver, fresh=False):
-        del address, fresh
+    def send(self, address, request, receiver, new_connection=False):
+        del address, new_connection
         self.exchanges.append(Exchange(request, receiver))
         return self.exchanges[-1]
 
@@ -158,7 +158,7 @@
             return NO_GROUP
         return relay.Target(self._known[len(one.tried)])
 
-    def may_repeat(self, service):
+    def may_retry(self, service):
         del service
         return self.repeats_left > 0
 
@@ -188,6 +188,6 @@
     one = relay.Relay(node, request, reply or Reply())
     one.route = node.route
     one.tenant = model.Tenant("t", (), None)
-    one.end_ms = FAR_END_MS
+    one.deadline_at_ms = FAR_END_MS
     one.start()
     return one
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -47,7 +47,7 @@
         one = attempts.Attempt("a1", streaming, sink)
         one.exchange = pool.send(exchanges.ADDRESS, b"GET / HTTP/1.1\r\n\r\n",
                                  one)
-        asyncio.get_running_loop().call_later(give_up_ms / 1000, one.give_up,
+        asyncio.get_running_loop().call_later(give_up_ms / 1000, one.cancel,
                                               attempts.Result.TIMED_OUT, "late")
         outcome = await one.done
         await asyncio.sleep(0.01)
--- a/tests/gateway/test_backpressure.py
+++ b/tests/gateway/test_backpressure.py
@@ -23,7 +23,7 @@
         head = upstream.Head(status, [
             (name.replace("_", "-"), value) for name, value in headers.items()
         ])
-        with clock.set_to(lambda: self.now_ms):
+        with clock.override(lambda: self.now_ms):
             self.asked.receive_head("a1", RUNNER.id, head, self.now_ms - 1)
 
     def wait_ms(self):
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -46,8 +46,8 @@
 
 
 def echo(request, reply):
-    reply.whole(200, [],
-                f"{request.method} {request.target} ".encode() + request.body)
+    reply.send(200, [],
+               f"{request.method} {request.target} ".encode() + request.body)
 
 
 def send(*parts, wait_s=0.05):
@@ -137,8 +137,8 @@
     def handler(request, reply):
         del request
         reply.start(200, [])
-        reply.piece(b"part")
-        reply.break_off()
+        reply.write(b"part")
+        reply.abort()
 
     client, _ = play(send(GET), handler)
     assert b"0\r\n\r\n" not in client.got and client.closed
@@ -149,7 +149,7 @@
     async def script(client, server):
         client.transport.write(b"GET /x HTTP/1.1\r\n")
         await asyncio.sleep(0.6)
-        server.sweep(clock.now_ms())
+        server.enforce_timeouts(clock.now_ms())
         await asyncio.sleep(0.1)
 
     client, _ = play(script, echo)
--- a/tests/gateway/test_freshness_and_retries.py
+++ b/tests/gateway/test_freshness_and_retries.py
@@ -27,7 +27,7 @@
         budget = nodes[(now_ms // 10) % 6]
         budget.request(now_ms)
         requests += 1
-        while budget.may_repeat(6, now_ms):
+        while budget.may_retry(6, now_ms):
             budget.repeat(now_ms)
             repeats += 1
     assert repeats <= 0.2 * requests + 130
@@ -37,7 +37,7 @@
 def test_old_repeats_are_forgotten():
     budget = retrybudget.RetryBudget(0.0, 10_000, 10)
     for now_ms in range(8):
-        assert budget.may_repeat(1, now_ms)
+        assert budget.may_retry(1, now_ms)
         budget.repeat(now_ms)
-    assert not budget.may_repeat(1, 9000)
-    assert budget.may_repeat(1, 10_010)
+    assert not budget.may_retry(1, 9000)
+    assert budget.may_retry(1, 10_010)
--- a/tests/gateway/test_holding.py
+++ b/tests/gateway/test_heldrequests.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cardamommill.experiment import virtualloop
-from cardamommill.gateway import callers, clock, holding
+from cardamommill.gateway import callers, clock, heldrequests
 from tests.gateway import relays
 
 
@@ -36,11 +36,11 @@
         def may_serve():
             return clock.now_ms() - began_ms >= known_after_ms
 
-        held = holding.Held(
+        held = heldrequests.HeldRequest(
             serve, callers.CallerRequest("GET", "/x", [], b"", began_ms), reply)
         loop = asyncio.get_running_loop()
         loop.call_later(left_after_ms / 1000, held.caller_left)
-        loop.create_task(held.wait(may_serve))
+        loop.create_task(held.serve_when_ready(may_serve))
         await asyncio.sleep(length_ms / 1000)
         serving.reply = reply
         return serving
@@ -55,13 +55,13 @@
     It refused them, and many do not come twice.
     """
     (served_ms,), _ = play(known_after_ms=40.0)
-    assert 40.0 <= served_ms <= 40.0 + 2 * holding.LOOK_MS
+    assert 40.0 <= served_ms <= 40.0 + 2 * heldrequests.POLL_INTERVAL_MS
 
 
 def test_request_is_not_held_for_a_node_that_learns_nothing():
     """The store is away; the request is answered, and told to come back."""
     (served_ms,), _ = play(known_after_ms=1e9)
-    assert served_ms <= 1.1 * holding.HELD_MS
+    assert served_ms <= 1.1 * heldrequests.MAX_HOLD_MS
 
 
 def test_request_whose_caller_left_is_not_served():
--- a/tests/gateway/test_stray_bytes.py
+++ b/tests/gateway/test_misdelivered_bytes.py
@@ -49,7 +49,7 @@
         del request
         streams.append(reply)
         reply.start(200, [])
-        reply.piece(b"one")
+        reply.write(b"one")
 
     async def script(client, server):
         del server
@@ -57,7 +57,7 @@
         await asyncio.sleep(0.01)
         client.transport.write(POST_EXPECTING)
         await asyncio.sleep(0.01)
-        streams[0].piece(b"two")
+        streams[0].write(b"two")
         streams[0].end()
         await asyncio.sleep(0.01)
 
@@ -67,7 +67,7 @@
 
 
 def _answer_again(reply):
-    reply.whole(500, [], b"late")
+    reply.send(500, [], b"late")
 
 
 def _fail(reply):
@@ -85,7 +85,7 @@
 
     def handler(request, reply):
         del request
-        reply.whole(200, [], b"own")
+        reply.send(200, [], b"own")
         fault(reply)
 
     client, _ = test_callers.play(test_callers.send(test_callers.GET), handler)
@@ -109,11 +109,11 @@
         client.transport.write(test_callers.GET + GET_NEXT)
         await asyncio.sleep(0.01)
         connections.extend(server.connections)
-        waiting[0][1].whole(200, [], b"one")
+        waiting[0][1].send(200, [], b"one")
         connections[0].data_received(b"\x01 no request\r\n\r\n")
         await asyncio.sleep(0.01)
         if len(waiting) > 1:
-            waiting[1][1].whole(200, [], b"two")
+            waiting[1][1].send(200, [], b"two")
         await asyncio.sleep(0.01)
 
     client, _ = test_callers.play(script, handler)
@@ -137,10 +137,10 @@
         client.transport.write(test_callers.GET + GET_NEXT)
         await asyncio.sleep(0.01)
         server.stop()
-        waiting[0].whole(200, [], b"one")
+        waiting[0].send(200, [], b"one")
         await asyncio.sleep(0.01)
         for reply in waiting[1:]:
-            reply.whole(200, [], b"two")
+            reply.send(200, [], b"two")
         await asyncio.sleep(0.01)
 
     client, _ = test_callers.play(script, handler)
@@ -157,7 +157,7 @@
 
     def handler(request, reply):
         got.append(request.get(words.MODEL))
-        reply.whole(200, [], b"")
+        reply.send(200, [], b"")
 
     test_callers.play(
         test_callers.send(
@@ -178,7 +178,7 @@
 
     async def main():
         server = callers.CallerServer(
-            lambda request, reply: reply.whole(200, [], body), print)
+            lambda request, reply: reply.send(200, [], body), print)
         loop = asyncio.get_running_loop()
         listening = await loop.create_server(
             lambda: callers.CallerConnection(server), "127.0.0.1", 0)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -34,7 +34,7 @@
 
     started = False
 
-    def whole(self, status, headers, body):
+    def send(self, status, headers, body):
         self.answer = (status, dict(headers), body)
 
 
@@ -303,7 +303,7 @@
         first.head(200)
         first.event(1)
         node.keys_hold = False
-        one.end_ms = clock.now_ms() + 1.2 * relay.RESUME_LOOK_MS
+        one.deadline_at_ms = clock.now_ms() + 1.2 * relay.RESUME_LOOK_MS
         first.cut()
         await asyncio.sleep(1.5 * relay.RESUME_LOOK_MS / 1000)
         node.keys_hold = True
--- a/tests/gateway/test_replies.py
+++ b/tests/gateway/test_replies.py
@@ -72,7 +72,7 @@
 
 
 def _whole(reply):
-    reply.whole(500, [], b"it failed")
+    reply.send(500, [], b"it failed")
 
 
 def _start(reply):
@@ -80,7 +80,7 @@
 
 
 def _piece(reply):
-    reply.piece(b"x")
+    reply.write(b"x")
 
 
 def _end(reply):
@@ -88,7 +88,7 @@
 
 
 def _break_off(reply):
-    reply.break_off()
+    reply.abort()
 
 
 @pytest.mark.parametrize("before,step", [
@@ -160,7 +160,7 @@
         for step in (_piece, _end, _whole, _break_off):
             with contextlib.suppress(exceptions.CardamommillError):
                 step(replies[0])
-        replies[1].piece(b"own")
+        replies[1].write(b"own")
         replies[1].end()
         await asyncio.sleep(0.01)
 
--- a/tests/gateway/test_replies_rows.py
+++ b/tests/gateway/test_replies_transitions.py
@@ -39,17 +39,17 @@
     reply, line = _reply()
     if is_begun:
         reply.start(200, [])
-    reply.break_off()
+    reply.abort()
     assert reply.ended and line.ends == ["aborted"]
 
 
 @pytest.mark.parametrize("step", [
     lambda reply: reply.start(200, []),
-    lambda reply: reply.break_off(),
+    lambda reply: reply.abort(),
 ])
 def test_complete_answer_is_followed_by_nothing(step):
     reply, line = _reply()
-    reply.whole(200, [], b"own")
+    reply.send(200, [], b"own")
     before = line.got
     with pytest.raises(exceptions.AnswerOutOfOrder):
         step(reply)
@@ -64,7 +64,7 @@
     """
     reply, line = _reply()
     with pytest.raises(exceptions.AnswerOutOfOrder):
-        reply.piece(b"x")
+        reply.write(b"x")
     with pytest.raises(exceptions.AnswerOutOfOrder):
         reply.start(200, [])
     assert reply.ended and (line.got, line.ends) == (b"", ["aborted"])
--- /dev/null
+++ b/tests/gateway/test_retrydecision.py
@@ -0,0 +1,41 @@
+"""Tests of what follows a try."""
+
+import itertools
+
+from cardamommill.gateway import retrydecision
+from cardamommill.gateway.attempts import Result
+
+
+def test_only_a_try_that_surely_did_not_run_counts_as_that():
+    assert {each for each in Result if not retrydecision.may_have_run(each)
+           } == {Result.NOT_RUN, Result.UNSENT}
+
+
+def test_request_that_may_have_run_is_never_said_not_to_have():
+    for result, repeatable, elsewhere in itertools.product(
+            Result, (True, False), (True, False)):
+        ran = retrydecision.may_have_run(result)
+        state = retrydecision.RequestState(repeatable, ran, elsewhere)
+        step = retrydecision.next_step(result, state)
+        assert not (ran and step is retrydecision.NextStep.ANSWER_NOT_RUN)
+
+
+def test_request_that_may_run_once_goes_elsewhere_only_if_it_did_not_run():
+    for result in Result:
+        step = retrydecision.next_step(
+            result, retrydecision.RequestState(False, False, True))
+        if step is retrydecision.NextStep.RETRY:
+            assert result in (Result.NOT_RUN, Result.UNSENT)
+
+
+def test_refusal_after_an_earlier_try_that_may_have_run_promises_nothing():
+    state = retrydecision.RequestState(True, True, False)
+    assert retrydecision.next_step(
+        Result.NOT_RUN, state) is retrydecision.NextStep.ANSWER_UNKNOWN
+
+
+def test_repeatable_request_goes_on_elsewhere():
+    state = retrydecision.RequestState(True, True, True)
+    for result in (Result.BROKEN, Result.DIVERTED, Result.NOT_RUN):
+        assert retrydecision.next_step(result,
+                                       state) is retrydecision.NextStep.RETRY
--- a/tests/gateway/test_routetable.py
+++ b/tests/gateway/test_routetable.py
@@ -47,6 +47,6 @@
 def test_backends_are_drawn_by_weight_and_each_comes_once():
     split = route("a", "/a/", backends=(("x", 90.0), ("y", 10.0), ("z", 0.0)))
     chance = random.Random(1)
-    first = [routetable.backends_in_order(split, chance) for _ in range(1000)]
+    first = [routetable.draw_backend_order(split, chance) for _ in range(1000)]
     assert 850 <= sum(each[0] == "x" for each in first) <= 940
     assert all(sorted(each) == ["x", "y"] for each in first)
--- a/tests/gateway/test_questions.py
+++ b/tests/gateway/test_statuspages.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cardamommill import metrics
-from cardamommill.gateway import callers, questions
+from cardamommill.gateway import callers, statuspages
 from cardamommill.platform import words
 from tests.gateway import relays
 
@@ -11,10 +11,10 @@
 @pytest.mark.parametrize("target,is_ready,status",
                          [(words.READY_PATH, True, 200),
                           (words.READY_PATH, False, 503),
-                          (questions.METRICS_PATH, False, 200),
+                          (statuspages.METRICS_PATH, False, 200),
                           ("/other", True, 404)])
 def test_each_page_has_its_answer(target, is_ready, status):
     reply = relays.Reply()
-    pages = questions.Questions(lambda: is_ready, metrics.Metrics())
+    pages = statuspages.StatusPages(lambda: is_ready, metrics.Metrics())
     pages.answer(callers.CallerRequest("GET", target, [], b"", 0.0), reply)
     assert reply.status == status
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -63,7 +63,7 @@
                                           ADDRESS,
                                           b"POST / HTTP/1.1\r\n\r\n",
                                           500.0,
-                                          fresh=True)
+                                          new_connection=True)
             endings.append(answer.ending)
             await asyncio.sleep(0.01)
         return endings
