--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -8,13 +8,13 @@
 
 from cardamommill import logs, metrics
 from cardamommill.gateway import (
+    availablegroups,
     clock,
     dispatcher,
     fleetview,
     groupcontroller,
     model,
     peermessage,
-    standing,
 )
 
 # Own questions to the members of one group after alarms.
@@ -119,7 +119,7 @@
         for key in self._requests.silence.stalled(now_ms):
             self._give_up(key,
                           "group stands still",
-                          now_ms + standing.STALLED_MS,
+                          now_ms + availablegroups.STALLED_AVOID_MS,
                           is_dead=False)
 
     def probe_down_runners(self, now_ms: float, data_centre: str = "") -> None:
@@ -163,11 +163,12 @@
                       requests=len(self._requests.relays_at(key)),
                       list_age_ms=int(now_ms - self._view.list_as_of_ms)))
         self._metrics.count("groups_silent_total")
-        self._requests.standing.avoid(key, now_ms + standing.SUSPECT_MS)
+        self._requests.available_groups.avoid(
+            key, now_ms + availablegroups.SUSPECT_AVOID_MS)
         # Whoever found it first asks and tells all: of seventy nodes that
         # noticed one death each asked its members and told the others.
         asked_ms = self._asked_by_peer_ms.get(key, float("-inf"))
-        if now_ms - asked_ms < standing.SUSPECT_MS:
+        if now_ms - asked_ms < availablegroups.SUSPECT_AVOID_MS:
             return
         self._alarms[key] = _Told(now_ms, False)
         self.probe(key, "silent")
@@ -183,7 +184,7 @@
                       group=key,
                       requests=len(self._requests.relays_at(key)),
                       reason=reason))
-        self._requests.standing.avoid(key, until_ms)
+        self._requests.available_groups.avoid(key, until_ms)
         self._leave(key, reason, is_dead)
 
     def _leave(self, key: model.GroupKey, reason: str, is_dead: bool) -> None:
@@ -229,7 +230,7 @@
         now_ms = clock.now_ms()
         if all(answers):
             self._alarms.pop(key, None)
-            self._requests.standing.trust(key)
+            self._requests.available_groups.stop_avoiding(key)
             return
         silent = {
             each.runner.id
@@ -298,7 +299,7 @@
     def _hear_question(self, alarm: peermessage.Alarm, since_ms: float) -> bool:
         before_ms = self._asked_by_peer_ms.get(alarm.key, float("-inf"))
         self._asked_by_peer_ms[alarm.key] = since_ms
-        return since_ms - before_ms > standing.SUSPECT_MS
+        return since_ms - before_ms > availablegroups.SUSPECT_AVOID_MS
 
     def _hear_confirmed(self, alarm: peermessage.Alarm, peer: str,
                         since_ms: float, now_ms: float) -> bool:
@@ -306,8 +307,8 @@
             # The peer may be cut off itself.
             return False
         until_ms = since_ms + self._confirmed_ms
-        if self._requests.standing.is_avoided(alarm.key,
-                                              until_ms - TOGETHER_MS):
+        if self._requests.available_groups.is_avoided(alarm.key,
+                                                      until_ms - TOGETHER_MS):
             return False
         _LOG.info(
             logs.line("alarm-heard",
--- a/cardamommill/gateway/allocation.py
+++ b/cardamommill/gateway/allocation.py
@@ -205,7 +205,7 @@
                  served: model.ServedModel, scope: planning.Scope) -> bool:
         serving = fleetview.serving(
             self._view.groups(service).values(), served.name)
-        load = scope.total_load(serving).all_requests
+        load = scope.total_load(serving).total_requests
         return load > BUSY_PART * engine.slots * len(serving)
 
     def _by_need(self, service: str, engine: model.Engine,
--- a/cardamommill/gateway/standing.py
+++ b/cardamommill/gateway/availablegroups.py
@@ -7,23 +7,23 @@
 
 # A group that is silent here is left alone for this long, while its members
 # are asked; and for as long one that stands still though they answer.
-SUSPECT_MS = 400.0
-STALLED_MS = 1000.0
+SUSPECT_AVOID_MS = 400.0
+STALLED_AVOID_MS = 1000.0
 # A dead runner's entry goes after three heartbeats without a word; the last may
 # have come just before, and one more is lost on the way.
-LAPSE_HEARTBEATS = 4.0
+EXPIRY_HEARTBEATS = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class AvailableGroup:
     """A group that takes requests."""
 
     key: model.GroupKey
     model: str
     head: fleetview.RunnerRecord
     pace: float
-    is_far: bool
-    retiring: bool
+    spans_domains: bool
+    has_leaving_member: bool
 
 
 def confirmed_alarm_ms(heartbeat_ms: float, drain_ms: float) -> float:
@@ -37,27 +37,28 @@
         heartbeat_ms: How often runners tell of themselves.
         drain_ms: By when this node acts on what the list says.
     """
-    return LAPSE_HEARTBEATS * heartbeat_ms + drain_ms
+    return EXPIRY_HEARTBEATS * heartbeat_ms + drain_ms
 
 
-class StandingGroups:
+class AvailableGroups:
     """The groups of each service that serve."""
 
     def __init__(self, view: fleetview.FleetView) -> None:
         self._view = view
         self._version = -1
-        self._by_service: dict[str, list[Standing]] = {}
+        self._by_service: dict[str, list[AvailableGroup]] = {}
         self._avoid_until_ms: dict[model.GroupKey, float] = {}
 
-    def of_model(self, service: str, model_name: str) -> Iterable[Standing]:
+    def of_model(self, service: str,
+                 model_name: str) -> Iterable[AvailableGroup]:
         """Returns the standing groups of a model."""
         if self._version != self._view.version:
             self._version = self._view.version
             self._by_service = {}
         if service not in self._by_service:
             self._by_service[service] = [
-                standing for group in self._view.groups(service).values()
-                if (standing := _standing(group)) is not None
+                available for group in self._view.groups(service).values()
+                if (available := _available_group(group)) is not None
             ]
         return [
             each for each in self._by_service[service]
@@ -69,7 +70,7 @@
         self._avoid_until_ms[key] = max(until_ms,
                                         self._avoid_until_ms.get(key, 0.0))
 
-    def trust(self, key: model.GroupKey) -> None:
+    def stop_avoiding(self, key: model.GroupKey) -> None:
         """Takes an alarm back."""
         self._avoid_until_ms.pop(key, None)
 
@@ -84,13 +85,14 @@
         return False
 
 
-def _standing(group: fleetview.Group) -> Standing | None:
+def _available_group(group: fleetview.Group) -> AvailableGroup | None:
     head = group.head
     if not group.is_open or head is None or not head.is_usable:
         return None
     if any(each.down_ms for each in group.members.values()):
         return None
-    return Standing(group.key, group.model, head,
-                    max(each.pace for each in group.members.values()),
-                    len(group.domains) > 1,
-                    any(each.is_leaving for each in group.members.values()))
+    return AvailableGroup(
+        group.key, group.model, head,
+        max(each.pace for each in group.members.values()),
+        len(group.domains) > 1,
+        any(each.is_leaving for each in group.members.values()))
--- a/cardamommill/gateway/conclusion.py
+++ b/cardamommill/gateway/conclusion.py
@@ -37,19 +37,19 @@
             told: Takes the status, 0 for none, and the reason.
         """
         self._reply = reply
-        self._told = told
+        self._on_ended = told
         # A failure of a runner's own: the answer if nothing better comes.
         self._failure: attempts.Outcome | None = None
 
-    def note_failure(self, outcome: attempts.Outcome) -> None:
+    def record_failure(self, outcome: attempts.Outcome) -> None:
         """Keeps the first failure of a runner's own."""
         self._failure = self._failure or outcome
 
     def caller_left(self) -> None:
         """Ends it for nobody."""
-        self._told(0, "caller left")
+        self._on_ended(0, "caller left")
 
-    def follow(self, step: retrydecision.NextStep,
+    def finish(self, step: retrydecision.NextStep,
                outcome: attempts.Outcome) -> None:
         """Ends it after its last try."""
         if step is retrydecision.NextStep.NOTHING:
@@ -83,7 +83,7 @@
     def fail(self, reason: str) -> None:
         """Ends it after a fault of this node's own; it may have run."""
         if self._reply.ended:
-            self._told(0, f"broken off: {reason}")
+            self._on_ended(0, f"broken off: {reason}")
         elif self._reply.started:
             self._break_off(reason)
         else:
@@ -98,11 +98,11 @@
         if retry_after_ms:
             headers.append(("Retry-After", f"{retry_after_ms / 1000:.3f}"))
         self._reply.send(status, headers, f"{reason}\n".encode())
-        self._told(status, reason)
+        self._on_ended(status, reason)
 
     def _break_off(self, reason: str) -> None:
         self._reply.abort()
-        self._told(0, f"broken off: {reason}")
+        self._on_ended(0, f"broken off: {reason}")
 
     def _pass_on(self, outcome: attempts.Outcome) -> None:
         status = outcome.head.status
@@ -117,7 +117,7 @@
             return
         else:
             self._reply.send(status, headers, outcome.body)
-        self._told(status, "")
+        self._on_ended(status, "")
 
     def _pass_failure_on(self) -> bool:
         """Answers with an earlier failure of a runner, if there was one."""
--- a/cardamommill/gateway/demand.py
+++ b/cardamommill/gateway/demand.py
@@ -56,7 +56,7 @@
             serving = fleetview.serving(groups.values(), served.name)
             if not serving:
                 continue
-            count = scope.total_load(serving).all_requests
+            count = scope.total_load(serving).total_requests
             before = seen.requests.get(served.name, float(count))
             seen.requests[served.name] = before + weight * (count - before)
 
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -11,15 +11,16 @@
 from cardamommill.gateway import (
     admitting,
     attempts,
+    availablegroups,
     backpressure,
     clock,
     entrysettings,
     fleetview,
-    flights,
     forecast,
     forwarding,
     freshness,
     grouploads,
+    inflight,
     loadsums,
     model,
     peers,
@@ -33,7 +34,6 @@
     retrybudget,
     routetable,
     silence,
-    standing,
     upstream,
 )
 
@@ -49,7 +49,7 @@
 
 
 class Dispatcher:
-    """What requests need of their node; see `relay.Surroundings`."""
+    """What requests need of their node; see `relay.RelayContext`."""
 
     def __init__(self, settings: entrysettings.EntrySettings,
                  pool: upstream.Pool, view: fleetview.FleetView,
@@ -70,8 +70,8 @@
         self._budgets = retrybudget.RetryBudgets(settings.bounds)
         self._relays: dict[model.GroupKey, dict[relay.Relay, None]] = {}
         self._group_loads = grouploads.GroupLoads()
-        self.flights = self._group_loads.own
-        self.standing = standing.StandingGroups(view)
+        self.in_flight_requests = self._group_loads.own
+        self.available_groups = availablegroups.AvailableGroups(view)
         self.silence = silence.SilenceDetector()
         self.forecast = forecast.Forecast()
         self.reliability = reliability.Reliability(self._chance)
@@ -99,7 +99,8 @@
         """Returns this node's requests at a group."""
         return list(self._relays.get(key, ()))
 
-    def look_at_peers(self, far_load: loadsums.Loads, now_ms: float) -> None:
+    def update_from_peers(self, far_load: loadsums.Loads,
+                          now_ms: float) -> None:
         """Takes what peers told last of their load, and tells of doubts.
 
         Args:
@@ -107,8 +108,8 @@
                 tell it each for itself.
             now_ms: The time.
         """
-        self._group_loads.hear(self._peers.in_flight(now_ms), far_load,
-                               self._peers.load_age_ms())
+        self._group_loads.receive(self._peers.in_flight(now_ms), far_load,
+                                  self._peers.load_age_ms())
         for runner, odds in self.reliability.doubt_changes(now_ms):
             is_doubted = odds > reliability.DOUBT_THRESHOLD
             _LOG.warning(
@@ -118,7 +119,7 @@
             if is_doubted:
                 self._metrics.count("runners_doubted_total")
 
-    def loads(self) -> dict[model.GroupKey, flights.GroupLoad]:
+    def loads(self) -> dict[model.GroupKey, inflight.GroupLoad]:
         """Returns the requests of all nodes at each group that is known."""
         table = self._reader.table
         return {
@@ -186,11 +187,11 @@
         heads: dict[model.GroupKey, fleetview.RunnerRecord] = {}
         candidates = []
         others = 0
-        for each in self.standing.of_model(service.name, served.name):
+        for each in self.available_groups.of_model(service.name, served.name):
             heads[each.key] = each.head
             told = self._group_loads.others(each.key)
-            others += told.all_requests
-            load = self.flights.load(each.key).plus(told)
+            others += told.total_requests
+            load = self.in_flight_requests.load(each.key).plus(told)
             head = each.head.runner.id
             odds = self.reliability.fail_odds(head, now_ms)
             candidates.append(
@@ -198,32 +199,33 @@
                     key=each.key,
                     head=head,
                     in_flight=load.requests,
-                    patient=load.patient,
+                    deferred=load.deferred,
                     places=engine.slots,
                     pace=served.pace *
                     max(1.0, each.pace,
-                        engine.far_factor if each.is_far else 1.0),
-                    away=(each.head.runner.data_centre
-                          != self._settings.data_centre),
-                    avoided=(each.retiring or
-                             odds > reliability.DOUBT_THRESHOLD or
-                             self.standing.is_avoided(each.key, now_ms)),
-                    reading_tokens=load.unread_tokens,
+                        engine.far_factor if each.spans_domains else 1.0),
+                    is_remote=(each.head.runner.data_centre
+                               != self._settings.data_centre),
+                    is_avoided=(each.has_leaving_member or
+                                odds > reliability.DOUBT_THRESHOLD or
+                                self.available_groups.is_avoided(
+                                    each.key, now_ms)),
+                    pending_prompt_tokens=load.pending_prompt_tokens,
                     fail_odds=odds,
                     is_cooling_down=self.reliability.is_cooling_down(
                         head, now_ms),
                     wait_ms=self.backpressure.wait_ms(each.head.runner, now_ms),
-                    connected=self.pool.has_idle(
+                    has_idle_connection=self.pool.has_idle(
                         (each.head.runner.host, each.head.runner.port))))
         excluded = frozenset(
-            each.key for each in one.tried if each.key is not None)
-        wish = dataclasses.replace(
-            one.wish(self._chance.random()),
-            unseen=placing.unseen(engine, served.pace, others,
-                                  self._group_loads.age_ms),
+            each.key for each in one.attempted if each.key is not None)
+        requirements = dataclasses.replace(
+            one.requirements(self._chance.random()),
+            unreported_requests=placing.unreported_requests(
+                engine, served.pace, others, self._group_loads.age_ms),
             overhead_ms=self.forecast.overhead_ms(service.name))
-        placed = placing.place(engine, one.work, candidates, excluded, wish,
-                               self.expected_recovery_ms())
+        placed = placing.place(engine, one.token_counts, candidates, excluded,
+                               requirements, self.expected_recovery_ms())
         if isinstance(placed, placing.Refused):
             return placed
         key = placed.candidate.key
@@ -232,10 +234,10 @@
     def _find_runner(self, one: relay.Relay,
                      service: model.Service) -> relay.Target | placing.Refused:
         now_ms = clock.now_ms()
-        tried = {each.known.runner.id for each in one.tried}
+        attempted = {each.known.runner.id for each in one.attempted}
         usable = [
             each for each in self._view.runners_of(service.name)
-            if each.is_usable and each.runner.id not in tried
+            if each.is_usable and each.runner.id not in attempted
         ]
         if not usable:
             return placing.Refused("no runner",
@@ -246,8 +248,9 @@
         }
         takers = [each for each in usable if not waits_ms[each.runner.id]]
         if not takers:
-            return placing.no_taker(waits_ms.values(), self._chance.random())
-        return relay.Target(self._plain_runners.best(takers, now_ms))
+            return placing.backpressure_refusal(waits_ms.values(),
+                                                self._chance.random())
+        return relay.Target(self._plain_runners.choose(takers, now_ms))
 
     def may_retry(self, service: str) -> bool:
         """Whether the retry budget allows one more."""
@@ -255,8 +258,8 @@
         nodes = self._peers.nodes(now_ms)
         return self._budgets.for_service(service).may_retry(nodes, now_ms)
 
-    def attempt_begins(self, one: relay.Relay, target: relay.Target,
-                       repeat: bool) -> None:
+    def on_attempt_start(self, one: relay.Relay, target: relay.Target,
+                         repeat: bool) -> None:
         """Notes a try."""
         now_ms = clock.now_ms()
         budget = self._budgets.for_service(one.service)
@@ -266,24 +269,25 @@
         else:
             budget.request(now_ms)
         runner_id = target.known.runner.id
-        self._plain_runners.begins(runner_id)
+        self._plain_runners.add_request(runner_id)
         self.backpressure.sent(one.attempt_id, runner_id, repeat, now_ms)
         self._unproven_ms[one] = now_ms
         if target.key is None or target.placed is None:
             return
         self._relays.setdefault(target.key, {})[one] = None
         placed = target.placed
-        self.flights.begins(target.key, one.attempt_id, one.work.prompt_tokens,
-                            placed.patient)
+        self.in_flight_requests.add_request(target.key, one.attempt_id,
+                                            one.token_counts.prompt_tokens,
+                                            placed.is_deferred)
         self.silence.sent(target.key, one.attempt_id, placed.expected, now_ms)
 
-    def head_came(self, one: relay.Relay, target: relay.Target,
-                  head: upstream.Head, sent_ms: float) -> None:
+    def on_answer_head(self, one: relay.Relay, target: relay.Target,
+                       head: upstream.Head, sent_ms: float) -> None:
         """Takes what a runner asks of its callers in an answer."""
         self.backpressure.receive_head(one.attempt_id, target.known.runner.id,
                                        head, sent_ms)
 
-    def event_came(self, one: relay.Relay, target: relay.Target) -> None:
+    def on_stream_event(self, one: relay.Relay, target: relay.Target) -> None:
         """Notes an event of a stream."""
         now_ms = clock.now_ms()
         sent_ms = self._unproven_ms.pop(one, None)
@@ -292,21 +296,21 @@
             self._note_first_event(one, target, now_ms - sent_ms)
         if target.key is None:
             return
-        self.flights.event(target.key, one.attempt_id)
+        self.in_flight_requests.event(target.key, one.attempt_id)
         self.silence.event(target.key, one.attempt_id, now_ms)
 
     def _note_first_event(self, one: relay.Relay, target: relay.Target,
                           took_ms: float) -> None:
         placed = target.placed
-        if placed is not None and not placed.patient:
-            self.forecast.came(one.service, took_ms,
-                               placed.first_event_ms - placed.overhead_ms)
+        if placed is not None and not placed.is_deferred:
+            self.forecast.add_sample(one.service, took_ms,
+                                     placed.first_event_ms - placed.overhead_ms)
 
-    def attempt_ends(self, one: relay.Relay, target: relay.Target,
-                     outcome: attempts.Outcome) -> None:
+    def on_attempt_end(self, one: relay.Relay, target: relay.Target,
+                       outcome: attempts.Outcome) -> None:
         """Notes the end of a try."""
         runner_id = target.known.runner.id
-        self._plain_runners.ends(runner_id)
+        self._plain_runners.remove_request(runner_id)
         self._metrics.count("attempts_total",
                             service=one.service,
                             result=outcome.result.value)
@@ -315,7 +319,7 @@
             relays.pop(one, None)
             if not relays:
                 self._relays.pop(target.key, None)
-            self.flights.ends(target.key, one.attempt_id)
+            self.in_flight_requests.remove_request(target.key, one.attempt_id)
             self.silence.ended(target.key, one.attempt_id)
         self._note_ending(one, target, outcome)
 
@@ -353,7 +357,7 @@
             attempts.Result.NOT_RUN: self.on_refusal,
         }.get(outcome.result)
         if look_into is not None:
-            self.standing.avoid(target.key, now_ms + FAULT_AVOID_MS)
+            self.available_groups.avoid(target.key, now_ms + FAULT_AVOID_MS)
             look_into(target.key, outcome.reason)
 
     def _is_to_blame(self, one: relay.Relay, target: relay.Target,
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -12,6 +12,7 @@
 from cardamommill import logs, metrics
 from cardamommill.gateway import (
     alarms,
+    availablegroups,
     callers,
     clock,
     dispatcher,
@@ -34,7 +35,6 @@
     routetable,
     settingsfile,
     sourceselector,
-    standing,
     statuspages,
     tablecopies,
     tablereader,
@@ -107,8 +107,8 @@
                                        self._on_message, self._on_return)
         self._alarms = alarms.Alarms(
             self.view, self._requests, self._group_controller, self.metrics,
-            standing.confirmed_alarm_ms(settings.heartbeat_ms,
-                                        settings.bounds.drain_ms),
+            availablegroups.confirmed_alarm_ms(settings.heartbeat_ms,
+                                               settings.bounds.drain_ms),
             self._plans_for, self._speak_at_once, self.spawn)
         self._requests.on_fault = self._alarms.probe
         self._requests.on_refusal = self._alarms.refused
@@ -217,7 +217,7 @@
     def _serve(self, request: callers.CallerRequest,
                reply: replies.Reply) -> callers.ActiveRequest | None:
         one = relay.Relay(self._requests, request, reply)
-        if not one.begin():
+        if not one.admit():
             return None
         one.start()
         return one
@@ -269,7 +269,8 @@
             interval_ms=0.0,
             config_version=table.configuration.version if table else 0,
             config_confirmed_age_ms=self._freshness.age_ms(now_ms),
-            in_flight=self._requests.flights.loads() if is_near else {},
+            in_flight=self._requests.in_flight_requests.loads()
+            if is_near else {},
             alarms=self._alarms.updates_for_peers(now_ms),
             opened_groups=self._opened.updates_for_peers(now_ms),
             attempt_histories=reliability.updates_for_peers(now_ms)
@@ -288,7 +289,8 @@
             return None
         if update_scope is peers.UpdateScope.NEAR:
             return self._far_loads.sums_to_relay(now_ms)
-        own = loadsums.loads_by_short_id(self._requests.flights.loads())
+        own = loadsums.loads_by_short_id(
+            self._requests.in_flight_requests.loads())
         return loadsums.LoadSums(
             0.0, loadsums.sum_loads((own, self._peers.near_loads())))
 
@@ -318,7 +320,8 @@
         self._alarms.check_groups(now_ms)
         self._link.send_due(now_ms)
         if self._ticks % PLAN_EVERY_TICKS == 0:
-            self._requests.look_at_peers(self._far_loads.loads(now_ms), now_ms)
+            self._requests.update_from_peers(self._far_loads.loads(now_ms),
+                                             now_ms)
             self._plan(now_ms)
         if self._ticks % SWEEP_EVERY_TICKS == 0:
             self._server.enforce_timeouts(now_ms)
--- a/cardamommill/gateway/forecast.py
+++ b/cardamommill/gateway/forecast.py
@@ -8,12 +8,12 @@
 import collections
 
 # Of the last so many first events...
-SAMPLES = 40
+MAX_SAMPLES = 40
 # ... this part came sooner than by what all take longer; the rest had to wait
 # for others, of which nodes know too late.
 QUANTILE = 0.25
 # Fewer say nothing yet.
-LEAST_SAMPLES = 6
+MIN_SAMPLES = 6
 
 
 class Forecast:
@@ -23,7 +23,8 @@
         self._later_ms: dict[str, collections.deque[float]] = {}
         self._overhead_ms: dict[str, float] = {}
 
-    def came(self, service: str, took_ms: float, expected_ms: float) -> None:
+    def add_sample(self, service: str, took_ms: float,
+                   expected_ms: float) -> None:
         """Notes a first event.
 
         Args:
@@ -31,10 +32,10 @@
             took_ms: From the sending of the request.
             expected_ms: What the engine's arithmetic said.
         """
-        samples = self._later_ms.setdefault(service,
-                                            collections.deque(maxlen=SAMPLES))
+        samples = self._later_ms.setdefault(
+            service, collections.deque(maxlen=MAX_SAMPLES))
         samples.append(took_ms - expected_ms)
-        if len(samples) >= LEAST_SAMPLES:
+        if len(samples) >= MIN_SAMPLES:
             ranked = sorted(samples)
             self._overhead_ms[service] = max(
                 0.0, ranked[int(QUANTILE * len(ranked))])
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -49,30 +49,30 @@
 
     Attributes:
         runner: The only one that may run it.
-        left_ms: How much time its caller has left.
+        remaining_ms: How much time its caller has left.
         tenant: Whose it is; None where it needs no key.
         rank: In the runner's queue, 0 is first; None for a plain service.
         last_event_id: Where a stream goes on; None for its beginning.
     """
 
     runner: str
-    left_ms: float
+    remaining_ms: float
     tenant: str | None
     rank: int | None
     last_event_id: int | None
 
 
-def queue_rank(priority: int, patient: bool) -> int:
+def queue_rank(priority: int, is_deferred: bool) -> int:
     """Returns the rank in a runner's queue of a request of a priority."""
     urgent = min(URGENT_RANKS - 1, priority)
-    return urgent + URGENT_RANKS if patient else urgent
+    return urgent + URGENT_RANKS if is_deferred else urgent
 
 
 def request_bytes(request: callers.CallerRequest,
                   terms: AttemptParameters) -> bytes:
     """Returns a request as a runner gets it."""
-    left_ms = max(1, int(terms.left_ms - DEADLINE_MARGIN_MS))
-    own = [(words.DEADLINE_MS, str(left_ms)),
+    remaining_ms = max(1, int(terms.remaining_ms - DEADLINE_MARGIN_MS))
+    own = [(words.DEADLINE_MS, str(remaining_ms)),
            (words.EXPECT_INSTANCE, terms.runner)]
     if terms.tenant is not None:
         own.append((words.TENANT, terms.tenant))
@@ -92,7 +92,7 @@
             if name.lower() not in _HOP_HEADERS]
 
 
-def work(request: callers.CallerRequest) -> placing.Work:
+def token_counts(request: callers.CallerRequest) -> placing.TokenCounts:
     """Returns what a request says that it asks of an engine."""
     counts = (request.get(words.TOKEN_COUNTS) or "").split(",")
     numbers = [
@@ -101,8 +101,8 @@
     ]
     hint = httpheaders.number(request.get(words.LENGTH_HINT))
     if len(numbers) != 2:
-        return placing.Work(0, hint or 0)
-    return placing.Work(numbers[0], min(hint or numbers[1], numbers[1]))
+        return placing.TokenCounts(0, hint or 0)
+    return placing.TokenCounts(numbers[0], min(hint or numbers[1], numbers[1]))
 
 
 def fingerprint(request: callers.CallerRequest) -> int:
--- a/cardamommill/gateway/grouploads.py
+++ b/cardamommill/gateway/grouploads.py
@@ -1,6 +1,6 @@
 """What is at each group: own requests, and what other nodes told of theirs."""
 
-from cardamommill.gateway import flights, loadsums, model
+from cardamommill.gateway import inflight, loadsums, model
 
 
 class GroupLoads:
@@ -12,13 +12,13 @@
     """
 
     def __init__(self) -> None:
-        self.own = flights.Flights()
+        self.own = inflight.InFlightRequests()
         self.age_ms = 0.0
-        self._near: dict[model.GroupKey, flights.GroupLoad] = {}
+        self._near: dict[model.GroupKey, inflight.GroupLoad] = {}
         self._far: loadsums.Loads = {}
 
-    def hear(self, near: dict[model.GroupKey, flights.GroupLoad],
-             far: loadsums.Loads, age_ms: float) -> None:
+    def receive(self, near: dict[model.GroupKey, inflight.GroupLoad],
+                far: loadsums.Loads, age_ms: float) -> None:
         """Takes what other nodes told last.
 
         Args:
@@ -30,11 +30,11 @@
         self._far = far
         self.age_ms = age_ms
 
-    def others(self, key: model.GroupKey) -> flights.GroupLoad:
+    def others(self, key: model.GroupKey) -> inflight.GroupLoad:
         """Returns the requests of all other nodes at a group."""
-        return self._near.get(key, flights.NO_LOAD).plus(
-            self._far.get(key.short_id, flights.NO_LOAD))
+        return self._near.get(key, inflight.NO_LOAD).plus(
+            self._far.get(key.short_id, inflight.NO_LOAD))
 
-    def load(self, key: model.GroupKey) -> flights.GroupLoad:
+    def load(self, key: model.GroupKey) -> inflight.GroupLoad:
         """Returns the requests of all nodes at a group."""
         return self.own.load(key).plus(self.others(key))
--- a/cardamommill/gateway/loadsums.py
+++ b/cardamommill/gateway/loadsums.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 import dataclasses
 
-from cardamommill.gateway import flights, model
+from cardamommill.gateway import inflight, model
 
 # One may die while the other still reports.
 REPORTERS = 2
@@ -17,7 +17,7 @@
 # Two reports that don't come, and their way through two nodes.
 SUMS_AGE_MS = 3.5 * REPORT_MS
 
-Loads = dict[int, flights.GroupLoad]
+Loads = dict[int, inflight.GroupLoad]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,11 +38,11 @@
     found: Loads = {}
     for part in parts:
         for short_id, load in part.items():
-            found[short_id] = found.get(short_id, flights.NO_LOAD).plus(load)
+            found[short_id] = found.get(short_id, inflight.NO_LOAD).plus(load)
     return found
 
 
-def loads_by_short_id(loads: dict[model.GroupKey, flights.GroupLoad]) -> Loads:
+def loads_by_short_id(loads: dict[model.GroupKey, inflight.GroupLoad]) -> Loads:
     """Returns loads by the marks of their groups."""
     return {key.short_id: load for key, load in loads.items()}
 
--- a/cardamommill/gateway/overload.py
+++ b/cardamommill/gateway/overload.py
@@ -80,7 +80,8 @@
         for served in engine.models:
             serving = fleetview.serving(groups.values(), served.name)
             load = scope.total_load(serving)
-            part = load.patient / max(1, load.all_requests) if serving else 1.0
+            part = load.deferred / max(1,
+                                       load.total_requests) if serving else 1.0
             before = self._part.get(served.name, 0.0)
             self._part[served.name] = before + weight * (part - before)
 
--- a/cardamommill/gateway/peermessage.py
+++ b/cardamommill/gateway/peermessage.py
@@ -9,7 +9,7 @@
 
 from cardamommill import exceptions
 from cardamommill.gateway import (
-    flights,
+    inflight,
     loadsums,
     model,
     ratelimits,
@@ -90,7 +90,7 @@
     interval_ms: float
     config_version: int
     config_confirmed_age_ms: float
-    in_flight: dict[model.GroupKey, flights.GroupLoad]
+    in_flight: dict[model.GroupKey, inflight.GroupLoad]
     alarms: tuple[Alarm, ...]
     opened_groups: tuple[OpenedGroup, ...]
     attempt_histories: tuple[reliability.AttemptHistory, ...]
@@ -127,8 +127,8 @@
         load_sums = load_sums[:len(load_sums) * 3 // 4]
 
 
-def _numbers(load: flights.GroupLoad) -> list[int]:
-    return [load.requests, load.patient, load.unread_tokens]
+def _numbers(load: inflight.GroupLoad) -> list[int]:
+    return [load.requests, load.deferred, load.pending_prompt_tokens]
 
 
 def _packed(message: PeerMessage, in_flight: list[list[Any]],
@@ -223,9 +223,9 @@
                                 str(origin), float(origin_ms))
 
 
-def _load(numbers: list[Any]) -> flights.GroupLoad:
-    requests, patient, unread_tokens = map(int, numbers)
-    return flights.GroupLoad(requests, patient, unread_tokens)
+def _load(numbers: list[Any]) -> inflight.GroupLoad:
+    requests, deferred, pending_prompt_tokens = map(int, numbers)
+    return inflight.GroupLoad(requests, deferred, pending_prompt_tokens)
 
 
 def _sums(told: Any) -> loadsums.LoadSums | None:
--- a/cardamommill/gateway/peers.py
+++ b/cardamommill/gateway/peers.py
@@ -6,7 +6,7 @@
 
 from cardamommill.gateway import (
     election,
-    flights,
+    inflight,
     loadsums,
     model,
     peermessage,
@@ -120,7 +120,7 @@
         self._started_ms = now_ms
         self._most_alive = 1
         self._election = election.Election(node, data_centre)
-        self._loads: dict[model.GroupKey, flights.GroupLoad] = {}
+        self._loads: dict[model.GroupKey, inflight.GroupLoad] = {}
         self.peers: dict[Address, Peer] = {}
         # Whether this node speaks for its data centre, and to whom it does.
         self.is_reporter = False
@@ -291,7 +291,7 @@
         assert peer.last_message is not None
         peer.counted = True
         for key, load in peer.last_message.in_flight.items():
-            self._loads[key] = self._loads.get(key, flights.NO_LOAD).plus(load)
+            self._loads[key] = self._loads.get(key, inflight.NO_LOAD).plus(load)
 
     def _discount(self, peer: Peer) -> None:
         if not peer.counted or peer.last_message is None:
@@ -299,7 +299,7 @@
         peer.counted = False
         for key, load in peer.last_message.in_flight.items():
             left = self._loads[key].minus(load)
-            if left == flights.NO_LOAD:
+            if left == inflight.NO_LOAD:
                 del self._loads[key]
             else:
                 self._loads[key] = left
@@ -360,7 +360,7 @@
         return self._election.ages_ms(now_ms)
 
     def in_flight(self,
-                  now_ms: float) -> dict[model.GroupKey, flights.GroupLoad]:
+                  now_ms: float) -> dict[model.GroupKey, inflight.GroupLoad]:
         """Returns what the peers have at each group; kept up to date.
 
         Without any there is none to forget.
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -7,9 +7,9 @@
 
 # A runner that gave no answer of its own, or refused a request, comes last for
 # this long. Failures that it told come with the request more often than not.
-FAULT_MS = 1000.0
+FAULT_PENALTY_MS = 1000.0
 # How likely a runner fails counts like two requests in flight a step.
-FAIL_STEPS = 4
+FAILURE_WEIGHT = 4
 
 
 class PlainRunners:
@@ -30,11 +30,11 @@
         self._in_flight: dict[str, int] = {}
         self._faults_ms: dict[str, float] = {}
 
-    def begins(self, runner: str) -> None:
+    def add_request(self, runner: str) -> None:
         """Notes a request that is sent to a runner."""
         self._in_flight[runner] = self._in_flight.get(runner, 0) + 1
 
-    def ends(self, runner: str) -> None:
+    def remove_request(self, runner: str) -> None:
         """Notes the end of one."""
         left = self._in_flight.get(runner, 1) - 1
         if left > 0:
@@ -48,10 +48,11 @@
 
     def drop_expired(self, now_ms: float) -> None:
         """Forgets old faults."""
-        clock.drop_expired(self._faults_ms, float, 10 * FAULT_MS, now_ms)
+        clock.drop_expired(self._faults_ms, float, 10 * FAULT_PENALTY_MS,
+                           now_ms)
 
-    def best(self, usable: Iterable[fleetview.RunnerRecord],
-             now_ms: float) -> fleetview.RunnerRecord:
+    def choose(self, usable: Iterable[fleetview.RunnerRecord],
+               now_ms: float) -> fleetview.RunnerRecord:
         """Returns the runner that should get the next request."""
 
         def cost(
@@ -59,10 +60,11 @@
             runner = known.runner
             fault_ms = self._faults_ms.get(runner.id, float("-inf"))
             odds = self._tries.fail_odds(runner.id, now_ms)
-            is_last = (now_ms - fault_ms < FAULT_MS or
+            is_last = (now_ms - fault_ms < FAULT_PENALTY_MS or
                        odds > reliability.DOUBT_THRESHOLD)
             load = self._in_flight.get(runner.id, 0) // 2
-            return (is_last, load + int(FAIL_STEPS * odds), runner.data_centre
+            return (is_last, load + int(FAILURE_WEIGHT * odds),
+                    runner.data_centre
                     != self._data_centre, self._chance.random())
 
         return min(usable, key=cost)
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -4,7 +4,7 @@
 import dataclasses
 import functools
 
-from cardamommill.gateway import fleetview, flights, model, orders
+from cardamommill.gateway import fleetview, inflight, model, orders
 
 # A join of the model that the runner's last group had.
 REJOIN_MS = 200.0
@@ -73,19 +73,19 @@
     data_centres: frozenset[str]
     count: int
     is_before_traffic: bool
-    loads: dict[model.GroupKey, flights.GroupLoad]
+    loads: dict[model.GroupKey, inflight.GroupLoad]
     places: tuple[str, ...] = ()
 
-    def load(self, key: model.GroupKey) -> flights.GroupLoad:
+    def load(self, key: model.GroupKey) -> inflight.GroupLoad:
         """Returns what is at a group."""
-        return self.loads.get(key, flights.NO_LOAD)
+        return self.loads.get(key, inflight.NO_LOAD)
 
     def total_load(self,
-                   groups: Iterable[fleetview.Group]) -> flights.GroupLoad:
+                   groups: Iterable[fleetview.Group]) -> inflight.GroupLoad:
         """Returns what is at some groups together."""
-        return functools.reduce(flights.GroupLoad.plus,
+        return functools.reduce(inflight.GroupLoad.plus,
                                 (self.load(each.key) for each in groups),
-                                flights.NO_LOAD)
+                                inflight.NO_LOAD)
 
 
 def is_ready(known: fleetview.RunnerRecord, key: model.GroupKey) -> bool:
--- a/cardamommill/gateway/rebalancing.py
+++ b/cardamommill/gateway/rebalancing.py
@@ -237,7 +237,7 @@
         return []
 
     def requests(group: fleetview.Group) -> int:
-        return scope.load(group.key).all_requests
+        return scope.load(group.key).total_requests
 
     chosen = [sorted(each, key=requests)[:plan.given] for each in able]
     return min(chosen, key=lambda each: sum(map(requests, each)))
--- a/cardamommill/gateway/reconciliation.py
+++ b/cardamommill/gateway/reconciliation.py
@@ -110,7 +110,7 @@
         leaving = [each for each in group.members.values() if each.is_leaving]
         if leaving:
             since_ms = min(each.leaving_ms for each in leaving)
-            idle = not scope.load(group.key).all_requests
+            idle = not scope.load(group.key).total_requests
             if idle or now_ms - since_ms > RETIRE_MS:
                 return f"{leaving[0].runner.id} is leaving"
             return ""
@@ -137,7 +137,7 @@
         """
         is_stale = (now_ms - self._view.list_as_of_ms
                     > self._view.list_stale_ms)
-        is_unseen = is_stale and not scope.load(group.key).all_requests
+        is_unseen = is_stale and not scope.load(group.key).total_requests
         for known in group.members.values():
             if known.down_ms or (known.listed and not is_unseen):
                 continue
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -30,13 +30,13 @@
 
 # Tries at runners that refuse or can't be reached; a refusal costs a caller
 # some ms, and the budget bounds their sum.
-MAX_TRIES = 4
+MAX_TOTAL_ATTEMPTS = 4
 # An answer that is not a stream is tried elsewhere only with this much left.
-MIN_LEFT_MS = 20.0
+MIN_REMAINING_MS = 20.0
 # How long a stream that has begun waits for a group to go on at: callers
 # leave after a pause of two seconds.
-RESUME_PATIENCE_MS = 1500.0
-RESUME_LOOK_MS = 40.0
+RESUME_WAIT_MS = 1500.0
+RESUME_POLL_MS = 40.0
 # Callers leave after two seconds without an event.
 PATIENCE_MS = 1600.0
 
@@ -57,7 +57,7 @@
         return str(self.key) if self.key else self.known.runner.id
 
 
-class Surroundings(admitting.ConfigurationState, Protocol):
+class RelayContext(admitting.ConfigurationState, Protocol):
     """What a relay needs of its node."""
 
     pool: upstream.Pool
@@ -71,19 +71,19 @@
     def may_retry(self, service: str) -> bool:
         """Whether the retry budget allows one more."""
 
-    def attempt_begins(self, relay: "Relay", target: Target,
-                       repeat: bool) -> None:
+    def on_attempt_start(self, relay: "Relay", target: Target,
+                         repeat: bool) -> None:
         """Notes a try."""
 
-    def attempt_ends(self, relay: "Relay", target: Target,
-                     outcome: attempts.Outcome) -> None:
+    def on_attempt_end(self, relay: "Relay", target: Target,
+                       outcome: attempts.Outcome) -> None:
         """Notes the end of a try."""
 
-    def head_came(self, relay: "Relay", target: Target, head: upstream.Head,
-                  sent_ms: float) -> None:
+    def on_answer_head(self, relay: "Relay", target: Target,
+                       head: upstream.Head, sent_ms: float) -> None:
         """Notes the head of an answer to a try that was sent then."""
 
-    def event_came(self, relay: "Relay", target: Target) -> None:
+    def on_stream_event(self, relay: "Relay", target: Target) -> None:
         """Notes an event of a stream."""
 
     def ended(self, relay: "Relay", status: int, reason: str) -> None:
@@ -93,7 +93,7 @@
 class Relay:
     """One request of a caller."""
 
-    def __init__(self, node: Surroundings, request: callers.CallerRequest,
+    def __init__(self, node: RelayContext, request: callers.CallerRequest,
                  reply: replies.Reply) -> None:
         self._node = node
         self.request = request
@@ -103,12 +103,12 @@
         self.tenant: model.Tenant | None = None
         self._key_digest = b""
         self.service = ""
-        self.work = forwarding.work(request)
+        self.token_counts = forwarding.token_counts(request)
         self.model_name = request.get(words.MODEL) or ""
-        self.tried: list[Target] = []
-        self.ran_at: list[Target] = []
+        self.attempted: list[Target] = []
+        self.may_have_run_at: list[Target] = []
         # Those of them that count as runs: a stream runs from its first token.
-        self._begun_at: list[Target] = []
+        self._counted_at: list[Target] = []
         self._try_sent_ms = 0.0
         # Whether the group that the try is at lost a member.
         self._is_dead = False
@@ -123,11 +123,11 @@
         # Where a try goes on that is about to be left.
         self._reserved: Target | None = None
         self._leaving: asyncio.TimerHandle | None = None
-        self.left = False
+        self.is_abandoned = False
 
     # Admission.
 
-    def begin(self) -> bool:
+    def admit(self) -> bool:
         """Admits the request or answers it; True where it goes on."""
         found = admitting.admit(self._node, self.request)
         self.route = found.route
@@ -140,7 +140,7 @@
         self.deadline_at_ms = found.deadline_at_ms
         return True
 
-    def key_still_holds(self) -> bool:
+    def is_key_valid(self) -> bool:
         """Whether the key may be used at this moment."""
         return self.tenant is None or (self._key_is_known() and
                                        self._node.keys_may_be_trusted())
@@ -153,7 +153,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any try may have run it."""
-        return bool(self.ran_at)
+        return bool(self.may_have_run_at)
 
     @property
     def priority(self) -> int:
@@ -169,14 +169,16 @@
         return (self.route is not None and
                 self.route.kind is model.RouteKind.STREAMING)
 
-    def wish(self, spread: float) -> placing.Wish:
+    def requirements(self, jitter: float) -> placing.Requirements:
         """Returns what the request needs to be of use, as of now."""
         now_ms = clock.now_ms()
-        left_ms = self.deadline_at_ms - now_ms
+        remaining_ms = self.deadline_at_ms - now_ms
         if self.reply.started or self.route is None or not self.route.goal_ms:
-            return placing.Wish(left_ms, left_ms, left_ms, spread)
+            return placing.Requirements(remaining_ms, remaining_ms,
+                                        remaining_ms, jitter)
         goal_ms = self.request.arrived_ms + self.route.goal_ms - now_ms
-        return placing.Wish(goal_ms, min(left_ms, PATIENCE_MS), left_ms, spread)
+        return placing.Requirements(goal_ms, min(remaining_ms, PATIENCE_MS),
+                                    remaining_ms, jitter)
 
     # The way.
 
@@ -186,7 +188,7 @@
 
     def caller_left(self) -> None:
         """Gives up at once: a runner that works on takes others' places."""
-        self.left = True
+        self.is_abandoned = True
         if self._attempt is not None:
             self._attempt.cancel(attempts.Result.ABANDONED, "caller left")
 
@@ -220,18 +222,18 @@
             attempt.cancel(attempts.Result.DIVERTED, reason)
             return
         self._leaving = asyncio.get_running_loop().call_later(
-            RESUME_LOOK_MS / 1000, self._leave, attempt, reason)
+            RESUME_POLL_MS / 1000, self._leave, attempt, reason)
 
     def _way_on(self) -> Target | None:
         """Returns where a try that is left goes on, if it may and can."""
         if not self._may_go_elsewhere(leaving=self._may_be_at_work()):
             return None
-        if not self.key_still_holds():
+        if not self.is_key_valid():
             return None
         found = self._node.find_target(self)
         if isinstance(found, placing.Refused):
             return None
-        if found.placed is not None and found.placed.candidate.avoided:
+        if found.placed is not None and found.placed.candidate.is_avoided:
             return None
         return found
 
@@ -264,23 +266,23 @@
                 self.may_have_run, self._may_go_elsewhere(), self.reply.started)
             step = retrydecision.next_step(outcome.result, state)
             if outcome.result is attempts.Result.FAILED:
-                self._conclusion.note_failure(outcome)
-            if self.left:
+                self._conclusion.record_failure(outcome)
+            if self.is_abandoned:
                 self._conclusion.caller_left()
                 return
             if step is not retrydecision.NextStep.RETRY:
-                self._conclusion.follow(step, outcome)
+                self._conclusion.finish(step, outcome)
                 return
 
     async def _next_target(self) -> Target | placing.Refused | None:
         waited_from_ms = clock.now_ms()
-        if self.tried:
+        if self.attempted:
             # A caller's close that was read in the same turn of the loop as
             # the end of the try is told only now; a run would be for nobody.
             await asyncio.sleep(0)
         while True:
             now_ms = clock.now_ms()
-            if self.left:
+            if self.is_abandoned:
                 return None
             if now_ms >= self.deadline_at_ms:
                 # Its caller has left, also where the close is still under way.
@@ -289,14 +291,14 @@
             found = self._find_target()
             if isinstance(found, Target) or not self.reply.started:
                 return found
-            if (now_ms - waited_from_ms > RESUME_PATIENCE_MS or
+            if (now_ms - waited_from_ms > RESUME_WAIT_MS or
                 (self.tenant is not None and not self._key_is_known())):
                 return found
-            await asyncio.sleep(RESUME_LOOK_MS / 1000)
+            await asyncio.sleep(RESUME_POLL_MS / 1000)
 
     def _find_target(self) -> Target | placing.Refused:
         reserved, self._reserved = self._reserved, None
-        if not self.key_still_holds():
+        if not self.is_key_valid():
             return placing.Refused("key not confirmed",
                                    admitting.DEFAULT_RETRY_AFTER_MS)
         return reserved or self._node.find_target(self)
@@ -305,8 +307,8 @@
         attempt = attempts.Attempt(self.attempt_id, self.streaming, self)
         self._attempt = attempt
         self._target = target
-        self._node.attempt_begins(self, target, bool(self.tried))
-        self.tried.append(target)
+        self._node.on_attempt_start(self, target, bool(self.attempted))
+        self.attempted.append(target)
         self.progress.begin_attempt()
         self._is_dead = False
         runner = target.known.runner
@@ -326,11 +328,11 @@
             self._stay()
             self._attempt = None
         if retrydecision.may_have_run(outcome.result):
-            self.ran_at.append(target)
+            self.may_have_run_at.append(target)
             diverted = outcome.result is attempts.Result.DIVERTED
             if self._may_be_at_work() or not diverted:
-                self._begun_at.append(target)
-        self._node.attempt_ends(self, target, outcome)
+                self._counted_at.append(target)
+        self._node.on_attempt_end(self, target, outcome)
         return outcome
 
     def _checked(self, outcome: attempts.Outcome) -> attempts.Outcome:
@@ -357,16 +359,16 @@
                 not self._is_dead)
 
     def _may_go_elsewhere(self, leaving: bool = False) -> bool:
-        if self.route is None or len(self.tried) >= MAX_TRIES:
+        if self.route is None or len(self.attempted) >= MAX_TOTAL_ATTEMPTS:
             return False
         if self.reply.started and self.progress.last_event_id is None:
             # Nothing tells another runner where to go on.
             return False
-        if self.deadline_at_ms - clock.now_ms() < MIN_LEFT_MS:
+        if self.deadline_at_ms - clock.now_ms() < MIN_REMAINING_MS:
             return False
         # A runner that ended meanwhile does not count.
         counted = leaving + sum(
-            not each.known.down_ms for each in self._begun_at)
+            not each.known.down_ms for each in self._counted_at)
         if counted >= self.route.max_attempts:
             return False
         return self._node.may_retry(self.service)
@@ -374,8 +376,8 @@
     def _bytes(self, target: Target, now_ms: float) -> bytes:
         rank = None
         if target.key is not None:
-            patient = target.placed is not None and target.placed.patient
-            rank = forwarding.queue_rank(self.priority, patient)
+            deferred = target.placed is not None and target.placed.is_deferred
+            rank = forwarding.queue_rank(self.priority, deferred)
         return forwarding.request_bytes(
             self.request,
             forwarding.AttemptParameters(
@@ -388,13 +390,13 @@
     def on_head(self, head: upstream.Head) -> None:
         """Takes the head of the answer to the try."""
         assert self._target is not None
-        self._node.head_came(self, self._target, head, self._try_sent_ms)
+        self._node.on_answer_head(self, self._target, head, self._try_sent_ms)
 
     def on_event(self, head: upstream.Head, event: eventparser.Event) -> bool:
         """Passes an event on, if it is the next one."""
         assert self._target is not None
         self._stay()
-        self._node.event_came(self, self._target)
+        self._node.on_stream_event(self, self._target)
         order = self.progress.record(event)
         if order is not streamprogress.EventPosition.NEXT:
             return order is streamprogress.EventPosition.REPEATED
--- a/cardamommill/gateway/requestlog.py
+++ b/cardamommill/gateway/requestlog.py
@@ -23,7 +23,7 @@
                      tenant=one.tenant.name if one.tenant else "",
                      status=status,
                      reason=reason,
-                     targets=",".join(each.name for each in one.tried),
+                     targets=",".join(each.name for each in one.attempted),
                      events=one.progress.events,
                      first_event_ms=int(first_ms -
                                         arrived_ms) if first_ms else "",
@@ -35,10 +35,10 @@
 
 def _forecast(one: relay.Relay) -> dict[str, object]:
     """Returns what was expected of the last try, where it had a forecast."""
-    placed = one.tried[-1].placed if one.tried else None
+    placed = one.attempted[-1].placed if one.attempted else None
     if placed is None:
         return {}
     return {
         "expected_ms": int(placed.first_event_ms),
-        "patient": placed.patient
+        "patient": placed.is_deferred
     }
--- a/cardamommill/gateway/silence.py
+++ b/cardamommill/gateway/silence.py
@@ -60,13 +60,13 @@
     Attributes:
         pass_ms: What a pass of the group should take.
         max_pass_ms: What one may take that reads as much as it can.
-        read_ms: What reading the request's prompt should take.
+        prefill_ms: What reading the request's prompt should take.
         first_event_ms: When its first event should come.
     """
 
     pass_ms: float
     max_pass_ms: float
-    read_ms: float
+    prefill_ms: float
     first_event_ms: float
 
 
@@ -85,7 +85,7 @@
         watch.longest_ms = expected.max_pass_ms
         watch.waiting[request] = now_ms + expected.first_event_ms
         watch.reading_until_ms = (max(watch.reading_until_ms, now_ms) +
-                                  expected.read_ms)
+                                  expected.prefill_ms)
 
     def event(self, key: model.GroupKey, request: str, now_ms: float) -> None:
         """Notes an event of a request."""
--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -51,7 +51,7 @@
 def test_loads_of_the_other_data_centre_are_known_to_all_nodes(monkeypatch):
     """Told by each node to each, they came so late that they said little."""
     seen = {}
-    look = dispatcher.Dispatcher.look_at_peers
+    look = dispatcher.Dispatcher.update_from_peers
 
     def noted(self, far_load, now_ms):
         look(self, far_load, now_ms)
@@ -59,7 +59,7 @@
         seen[node] = max(seen.get(node, 0),
                          sum(load.requests for load in far_load.values()))
 
-    monkeypatch.setattr(dispatcher.Dispatcher, "look_at_peers", noted)
+    monkeypatch.setattr(dispatcher.Dispatcher, "update_from_peers", noted)
     assert not play().violations
     assert len(seen) == 24
     assert min(seen.values()) > 2
--- a/tests/gateway/relays.py
+++ b/tests/gateway/relays.py
@@ -20,20 +20,20 @@
 
 
 @dataclasses.dataclass
-class Reply:
+class FakeReply:
     """What the caller's connection got, in order.
 
     Attributes:
         status: Of the head; 0 before it.
         events: The ids of whole events.
-        wholes: Bodies that came as one whole answer.
+        complete_bodies: Bodies that came as one whole answer.
         ending: How it ended; empty while it goes on.
     """
 
     status: int = 0
     headers: list = dataclasses.field(default_factory=list)
     events: list = dataclasses.field(default_factory=list)
-    wholes: list = dataclasses.field(default_factory=list)
+    complete_bodies: list = dataclasses.field(default_factory=list)
     ending: str = ""
     started: bool = False
 
@@ -44,7 +44,7 @@
     def send(self, status, headers, body):
         assert not self.started, "a whole answer within another one"
         self.status, self.headers = status, headers
-        self.wholes.append(body)
+        self.complete_bodies.append(body)
         self.started = True
         self.ending = "whole"
 
@@ -66,7 +66,7 @@
         self.ending = "broken off"
 
 
-class Exchange:
+class FakeExchange:
     """A request at a runner, which the test answers."""
 
     def __init__(self, request, receiver):
@@ -108,7 +108,7 @@
         self.complete()
 
 
-class Node:
+class FakeNode:
     """What a relay needs; groups stand, and keys hold, as a test says."""
 
     def __init__(self, kind=model.RouteKind.STREAMING, resumable=True):
@@ -116,7 +116,7 @@
         self.exchanges = []
         self.ends = []
         self.groups = 3
-        self.keys_hold = True
+        self.are_keys_valid = True
         self.repeats_left = 10
         self.route = model.Route(name="r",
                                  host="h",
@@ -137,7 +137,7 @@
 
     def send(self, address, request, receiver, new_connection=False):
         del address, new_connection
-        self.exchanges.append(Exchange(request, receiver))
+        self.exchanges.append(FakeExchange(request, receiver))
         return self.exchanges[-1]
 
     def spawn(self, work):
@@ -151,28 +151,28 @@
         return True
 
     def keys_may_be_trusted(self):
-        return self.keys_hold
+        return self.are_keys_valid
 
     def find_target(self, one):
-        if len(one.tried) >= self.groups:
+        if len(one.attempted) >= self.groups:
             return NO_GROUP
-        return relay.Target(self._known[len(one.tried)])
+        return relay.Target(self._known[len(one.attempted)])
 
     def may_retry(self, service):
         del service
         return self.repeats_left > 0
 
-    def attempt_begins(self, one, target, repeat):
+    def on_attempt_start(self, one, target, repeat):
         del one, target
         self.repeats_left -= repeat
 
-    def attempt_ends(self, one, target, outcome):
+    def on_attempt_end(self, one, target, outcome):
         pass
 
-    def head_came(self, one, target, head, sent_ms):
+    def on_answer_head(self, one, target, head, sent_ms):
         pass
 
-    def event_came(self, one, target):
+    def on_stream_event(self, one, target):
         pass
 
     def ended(self, one, status, reason):
@@ -185,7 +185,7 @@
     headers = [(words.ATTEMPT_ID, ATTEMPT_ID)]
     request = request or callers.CallerRequest("POST", "/v/1", headers, b"",
                                                0.0)
-    one = relay.Relay(node, request, reply or Reply())
+    one = relay.Relay(node, request, reply or FakeReply())
     one.route = node.route
     one.tenant = model.Tenant("t", (), None)
     one.deadline_at_ms = FAR_END_MS
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -9,11 +9,11 @@
 from cardamommill.experiment import virtualloop
 from cardamommill.gateway import (
     alarms,
+    availablegroups,
     clock,
     model,
     peermessage,
     silence,
-    standing,
 )
 from tests.gateway import builders
 
@@ -84,7 +84,7 @@
         self.spoken = 0
         self.requests = types.SimpleNamespace(
             silence=silence.SilenceDetector(),
-            standing=standing.StandingGroups(self.view),
+            available_groups=availablegroups.AvailableGroups(self.view),
             relays_at=lambda key: [self.relay])
         self.alarms = alarms.Alarms(
             self.view, self.requests, self.group_controller, metrics.Metrics(),
@@ -109,7 +109,7 @@
         self.updates = self.alarms.updates_for_peers(clock.now_ms())
         self.avoided = {
             key for key in (KEY, OTHER, THIRD, FOURTH)
-            if self.requests.standing.is_avoided(key, clock.now_ms())
+            if self.requests.available_groups.is_avoided(key, clock.now_ms())
         }
 
 
--- a/tests/gateway/test_standing.py
+++ b/tests/gateway/test_availablegroups.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cardamommill.gateway import model, platformreader, standing
+from cardamommill.gateway import availablegroups, model, platformreader
 from tests.gateway import builders
 
 KEY = model.GroupKey("g", 3)
@@ -23,13 +23,13 @@
 
 
 def groups(view):
-    return list(standing.StandingGroups(view).of_model("llm", "large"))
+    return list(availablegroups.AvailableGroups(view).of_model("llm", "large"))
 
 
 def test_open_group_takes_requests():
     (found,) = groups(builders.view(*members()))
     assert found.key == KEY and found.head.runner.id == "i-0"
-    assert not found.is_far and not found.retiring
+    assert not found.spans_domains and not found.has_leaving_member
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
 
 def test_group_with_a_leaving_member_is_the_last_choice():
     (found,) = groups(builders.view(*members(leaving=2)))
-    assert found.retiring
+    assert found.has_leaving_member
 
 
 def test_group_with_a_member_that_does_not_answer_takes_none():
@@ -63,23 +63,23 @@
 
 def test_group_over_two_domains_is_known_as_slow():
     (found,) = groups(builders.view(*members(domains=["d", "d", "d", "e"])))
-    assert found.is_far
+    assert found.spans_domains
 
 
 def test_change_of_belief_is_seen_at_once():
     view = builders.view(*members())
-    found = standing.StandingGroups(view)
+    found = availablegroups.AvailableGroups(view)
     assert found.of_model("llm", "large")
     view.record_no_answer("i-1", 2000)
     assert not found.of_model("llm", "large")
 
 
 def test_alarm_is_heeded_for_its_time_or_until_it_is_taken_back():
-    found = standing.StandingGroups(builders.view(*members()))
+    found = availablegroups.AvailableGroups(builders.view(*members()))
     found.avoid(KEY, 1000)
     assert found.is_avoided(KEY, 999) and not found.is_avoided(KEY, 1000)
     found.avoid(KEY, 3000)
-    found.trust(KEY)
+    found.stop_avoiding(KEY)
     assert not found.is_avoided(KEY, 2000)
 
 
@@ -93,5 +93,5 @@
     heartbeat_ms, drain_ms = 1200.0, 2000.0
     gone_ms = 4 * heartbeat_ms
     known_ms = gone_ms + platformreader.LIST_INTERVAL_RATIO * drain_ms
-    heeded_ms = standing.confirmed_alarm_ms(heartbeat_ms, drain_ms)
+    heeded_ms = availablegroups.confirmed_alarm_ms(heartbeat_ms, drain_ms)
     assert heeded_ms > known_ms
--- a/tests/gateway/test_forecast.py
+++ b/tests/gateway/test_forecast.py
@@ -8,7 +8,7 @@
 def learned(later_ms):
     made = forecast.Forecast()
     for each in later_ms:
-        made.came("llm", 200.0 + each, 200.0)
+        made.add_sample("llm", 200.0 + each, 200.0)
     return made.overhead_ms("llm")
 
 
@@ -25,7 +25,7 @@
 
 
 def test_few_events_say_nothing():
-    assert learned([90.0] * (forecast.LEAST_SAMPLES - 1)) == 0.0
+    assert learned([90.0] * (forecast.MIN_SAMPLES - 1)) == 0.0
 
 
 def test_engine_that_is_sooner_than_its_figures_has_no_overhead():
@@ -39,5 +39,5 @@
 def test_services_have_overheads_of_their_own():
     made = forecast.Forecast()
     for _ in range(20):
-        made.came("one", 300.0, 200.0)
+        made.add_sample("one", 300.0, 200.0)
     assert made.overhead_ms("other") == 0.0
--- a/tests/gateway/test_heldrequests.py
+++ b/tests/gateway/test_heldrequests.py
@@ -20,7 +20,7 @@
 def play(known_after_ms, left_after_ms=1e9, length_ms=400.0, fails=False):
     """Returns what became of a request, and after how long it was served."""
     served = []
-    reply = relays.Reply()
+    reply = relays.FakeReply()
 
     async def main():
         began_ms = clock.now_ms()
--- a/tests/gateway/test_loadsums.py
+++ b/tests/gateway/test_loadsums.py
@@ -1,16 +1,16 @@
 """Tests of what the nodes of a data centre tell the others as sums."""
 
-from cardamommill.gateway import flights, loadsums, model, peers
+from cardamommill.gateway import inflight, loadsums, model, peers
 from tests.gateway import test_peers
 
 KEY, OTHER = model.GroupKey("g", 1), model.GroupKey("h", 2)
-ONE = flights.GroupLoad(1, 0, 10)
+ONE = inflight.GroupLoad(1, 0, 10)
 
 
 def load_sums(age_ms=0.0, **loads):
     return loadsums.LoadSums(
         age_ms, {
-            model.GroupKey(name, 1).short_id: flights.GroupLoad(count)
+            model.GroupKey(name, 1).short_id: inflight.GroupLoad(count)
             for name, count in loads.items()
         })
 
--- a/tests/gateway/test_misdelivered_bytes.py
+++ b/tests/gateway/test_misdelivered_bytes.py
@@ -206,7 +206,7 @@
     Only steps out of order are caught there. The caller gets nothing until it
     gives up, its connection stays busy, and no end of the request is told.
     """
-    node = relays.Node()
+    node = relays.FakeNode()
 
     def fail(one):
         raise KeyError(one.attempt_id)
@@ -229,7 +229,7 @@
     and ends. It never came to where the caller is, so its end is not the end
     of the caller's stream.
     """
-    node = relays.Node()
+    node = relays.FakeNode()
 
     async def work():
         one = relays.begin(node)
@@ -256,7 +256,7 @@
     Nothing tells that one where to go on, so it begins anew, and the caller
     gets again what it has.
     """
-    node = relays.Node()
+    node = relays.FakeNode()
 
     async def work():
         one = relays.begin(node)
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from cardamommill.gateway import flights, model, orders, overload, planning
+from cardamommill.gateway import inflight, model, orders, overload, planning
 from tests.gateway import builders, planners
 
 LARGE = model.GroupKey("g1", 1)
@@ -25,7 +25,8 @@
 def loads(requests, waiting):
     """Returns what is at groups: all requests, and those of them that wait."""
     return {
-        key: flights.GroupLoad(count - waiting.get(key, 0), waiting.get(key, 0))
+        key:
+            inflight.GroupLoad(count - waiting.get(key, 0), waiting.get(key, 0))
         for key, count in requests.items()
     }
 
--- a/tests/gateway/test_peermessage.py
+++ b/tests/gateway/test_peermessage.py
@@ -10,7 +10,7 @@
 
 from cardamommill import exceptions
 from cardamommill.gateway import (
-    flights,
+    inflight,
     loadsums,
     model,
     peermessage,
@@ -21,7 +21,7 @@
 
 KEYS = strategies.builds(model.GroupKey, strategies.text(max_size=20),
                          strategies.integers(0, 2**40))
-LOADS = strategies.builds(flights.GroupLoad, strategies.integers(0, 99),
+LOADS = strategies.builds(inflight.GroupLoad, strategies.integers(0, 99),
                           strategies.integers(0, 99),
                           strategies.integers(0, 10**6))
 
@@ -109,7 +109,7 @@
 
 def test_message_fits_a_datagram_however_many_groups_there_are():
     many = {
-        model.GroupKey(f"group-{number}", number): flights.GroupLoad(1)
+        model.GroupKey(f"group-{number}", number): inflight.GroupLoad(1)
         for number in range(500)
     }
     failing = tuple(
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -3,7 +3,7 @@
 import copy
 import random
 
-from cardamommill.gateway import flights, model, peermessage, peers
+from cardamommill.gateway import inflight, model, peermessage, peers
 
 PLACES = ("a", "b")
 
@@ -116,9 +116,9 @@
     key = model.GroupKey("g", 1)
     first = node()
     receive(first, 1000,
-            message("a-2", "a", in_flight={key: flights.GroupLoad(2, 1, 30)}),
-            message("b-1", "b", in_flight={key: flights.GroupLoad(3, 0, 5)}))
-    assert first.in_flight(1000)[key] == flights.GroupLoad(5, 1, 35)
+            message("a-2", "a", in_flight={key: inflight.GroupLoad(2, 1, 30)}),
+            message("b-1", "b", in_flight={key: inflight.GroupLoad(3, 0, 5)}))
+    assert first.in_flight(1000)[key] == inflight.GroupLoad(5, 1, 35)
     assert not first.in_flight(9000)
 
 
@@ -174,10 +174,10 @@
     key, other = model.GroupKey("g", 1), model.GroupKey("h", 2)
     who = node()
     for sent_ms, loads in enumerate(({
-            key: flights.GroupLoad(2, 1, 30)
+            key: inflight.GroupLoad(2, 1, 30)
     }, {
-            key: flights.GroupLoad(1),
-            other: flights.GroupLoad(4)
+            key: inflight.GroupLoad(1),
+            other: inflight.GroupLoad(4)
     }, {})):
         receive(who, 1000, message("a-2", "a", 1.0 + sent_ms, in_flight=loads))
         assert who.in_flight(1000) == loads
@@ -294,7 +294,7 @@
 def test_load_of_a_peer_that_speaks_seldom_counts_for_longer():
     key = model.GroupKey("g", 1)
     who = node()
-    load = flights.GroupLoad(2, 0, 10)
+    load = inflight.GroupLoad(2, 0, 10)
     receive(who, 1000, message("a-2", "a", in_flight={key: load}),
             message("b-1", "b", interval_ms=2400.0, in_flight={key: load}))
     assert who.in_flight(2500)[key] == load.plus(load)
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -8,8 +8,8 @@
 from tests.gateway import builders
 
 ENGINE = builders.engine()
-WORK = placing.Work(1000, 180)
-WISH = placing.Wish(300.0, 1600.0, 8000.0, 0.5)
+TOKEN_COUNTS = placing.TokenCounts(1000, 180)
+REQUIREMENTS = placing.Requirements(300.0, 1600.0, 8000.0, 0.5)
 
 
 def candidate(name="g", in_flight=0, **changes):
@@ -18,19 +18,23 @@
                    in_flight=in_flight,
                    places=13,
                    pace=1.0,
-                   away=False,
-                   avoided=False)
+                   is_remote=False,
+                   is_avoided=False)
     return placing.Candidate(**{**figures, **changes})
 
 
-def place(*candidates, wish=WISH, excluded=frozenset(), work=WORK):
-    return placing.place(ENGINE, work, candidates, excluded, wish, 700.0)
+def place(*candidates,
+          requirements=REQUIREMENTS,
+          excluded=frozenset(),
+          token_counts=TOKEN_COUNTS):
+    return placing.place(ENGINE, token_counts, candidates, excluded,
+                         requirements, 700.0)
 
 
 def test_least_loaded_group_is_taken():
     placed = place(candidate("a", 9), candidate("b", 2))
     assert placed.candidate.key.name == "b"
-    assert not placed.patient
+    assert not placed.is_deferred
 
 
 def test_group_whose_head_takes_nothing_now_is_left_out():
@@ -47,7 +51,7 @@
 
 
 def test_group_nearby_is_taken_where_both_are_as_good():
-    placed = place(candidate("a", 2, away=True), candidate("b", 2))
+    placed = place(candidate("a", 2, is_remote=True), candidate("b", 2))
     assert placed.candidate.key.name == "b"
 
 
@@ -57,14 +61,17 @@
     Spread over all groups that are as good, every second one of them opened a
     connection, and runners have places for some hundreds only.
     """
-    placed = place(candidate("a", 2), candidate("b", 3, connected=True))
+    placed = place(candidate("a", 2), candidate("b",
+                                                3,
+                                                has_idle_connection=True))
     assert placed.candidate.key.name == "b"
-    placed = place(candidate("a", 2), candidate("b", 13, connected=True))
+    placed = place(candidate("a", 2),
+                   candidate("b", 13, has_idle_connection=True))
     assert placed.candidate.key.name == "a"
 
 
 def test_group_away_is_taken_where_it_is_much_sooner():
-    placed = place(candidate("a", 1, away=True), candidate("b", 13))
+    placed = place(candidate("a", 1, is_remote=True), candidate("b", 13))
     assert placed.candidate.key.name == "a"
 
 
@@ -80,37 +87,37 @@
     8: its caller would wait for all of that and get nothing. Where there is no
     other, the slow one has it all the same: its length is a guess.
     """
-    long = placing.Work(200, 560)
+    long = placing.TokenCounts(200, 560)
     slow = candidate("slow", 0, pace=2.5)
     quick = candidate("quick", 17)
-    assert place(slow, quick, work=long).candidate.key.name == "quick"
+    assert place(slow, quick, token_counts=long).candidate.key.name == "quick"
     assert place(slow, quick).candidate.key.name == "slow"
-    assert place(slow, work=long).candidate.key.name == "slow"
+    assert place(slow, token_counts=long).candidate.key.name == "slow"
 
 
 def test_avoided_group_is_used_only_where_no_other_is_in_time():
-    avoided = candidate("a", avoided=True)
+    avoided = candidate("a", is_avoided=True)
     assert place(avoided, candidate("b", 9)).candidate.key.name == "b"
     assert place(avoided).candidate.key.name == "a"
 
 
 def test_request_that_cannot_be_in_time_waits_behind_those_that_can():
     placed = place(candidate("a", 19))
-    assert placed.patient
+    assert placed.is_deferred
 
 
 def test_queue_of_late_requests_is_short():
     # A longer one would not be served before its callers leave.
-    refused = place(candidate("a", 19, patient=7))
+    refused = place(candidate("a", 19, deferred=7))
     assert isinstance(refused, placing.Refused)
     assert refused.retry_after_ms > 0
 
 
 def test_returns_are_spread():
-    early = place(candidate("a", 19, patient=7),
-                  wish=dataclasses.replace(WISH, spread=0.0))
-    late = place(candidate("a", 19, patient=7),
-                 wish=dataclasses.replace(WISH, spread=1.0))
+    early = place(candidate("a", 19, deferred=7),
+                  requirements=dataclasses.replace(REQUIREMENTS, jitter=0.0))
+    late = place(candidate("a", 19, deferred=7),
+                 requirements=dataclasses.replace(REQUIREMENTS, jitter=1.0))
     assert late.retry_after_ms >= 1.5 * early.retry_after_ms
 
 
@@ -120,9 +127,10 @@
     A caller that comes back before finds the same queue, is refused again and
     tries no more.
     """
-    refused = place(candidate("a", 60, patient=7),
-                    candidate("b", 40, patient=7),
-                    wish=placing.Wish(300.0, 1600.0, 8000.0, 0.0))
+    refused = place(candidate("a", 60, deferred=7),
+                    candidate("b", 40, deferred=7),
+                    requirements=placing.Requirements(300.0, 1600.0, 8000.0,
+                                                      0.0))
     engine_ms = placing.pass_ms(ENGINE, 13, 1.0)
     queue_ms = 28 * 180 / ENGINE.stride * engine_ms / 13
     assert queue_ms - 300 < refused.retry_after_ms < queue_ms + 300
@@ -136,10 +144,10 @@
 
 
 def test_long_prompt_is_expected_later():
-    short = placing.place(ENGINE, placing.Work(100, 10), [candidate()],
-                          frozenset(), WISH, 0)
-    long = placing.place(ENGINE, placing.Work(5000, 10), [candidate()],
-                         frozenset(), WISH, 0)
+    short = placing.place(ENGINE, placing.TokenCounts(100, 10), [candidate()],
+                          frozenset(), REQUIREMENTS, 0)
+    long = placing.place(ENGINE, placing.TokenCounts(5000, 10), [candidate()],
+                         frozenset(), REQUIREMENTS, 0)
     assert long.first_event_ms > short.first_event_ms + 90
 
 
@@ -152,12 +160,12 @@
     assert place(failing, candidate("b", 12)).candidate.key.name == "b"
     # Late in the queue of a sound one rather than failed.
     late = place(failing, candidate("b", 18))
-    assert late.candidate.key.name == "b" and late.patient
+    assert late.candidate.key.name == "b" and late.is_deferred
 
 
 def test_head_that_is_likely_to_fail_is_the_last_resort():
     failing = candidate("failing", 0, fail_odds=0.7)
-    full = candidate("full", 13, patient=13, reading_tokens=40_000)
+    full = candidate("full", 13, deferred=13, pending_prompt_tokens=40_000)
     assert place(failing).candidate.key.name == "failing"
     assert place(failing, full).candidate.key.name == "failing"
     # A moment after it failed one more is told to come back.
@@ -174,7 +182,7 @@
 
 def test_refused_callers_come_back_by_what_sound_groups_have_to_do():
     idle = candidate("failing", 0, fail_odds=0.7, is_cooling_down=True)
-    full = candidate("full", 13, patient=13, reading_tokens=60_000)
+    full = candidate("full", 13, deferred=13, pending_prompt_tokens=60_000)
     refused = place(idle, full)
     assert refused == place(full)
 
@@ -182,16 +190,14 @@
 def test_overhead_counts_against_the_objective():
     """With it the queue is too long: all that wait in it would come late."""
     full = candidate("a", 13)
-    assert not place(full).patient
-    late = dataclasses.replace(WISH, overhead_ms=120.0)
-    assert place(full, wish=late).patient
-    assert place(
-        candidate("a", 2),
-        wish=late).first_event_ms == (place(candidate("a", 2)).first_event_ms +
-                                      120.0)
+    assert not place(full).is_deferred
+    late = dataclasses.replace(REQUIREMENTS, overhead_ms=120.0)
+    assert place(full, requirements=late).is_deferred
+    assert place(candidate("a", 2), requirements=late).first_event_ms == (
+        place(candidate("a", 2)).first_event_ms + 120.0)
 
 
-def shared_out(unseen, requests=60, groups=12):
+def shared_out(unreported, requests=60, groups=12):
     """Returns how many requests each group gets of nodes that know the same."""
     chance = random.Random(1)
     candidates = [
@@ -199,8 +205,10 @@
     ]
     counts = collections.Counter()
     for _ in range(requests):
-        wish = dataclasses.replace(WISH, spread=chance.random(), unseen=unseen)
-        counts[place(*candidates, wish=wish).candidate.key] += 1
+        requirements = dataclasses.replace(REQUIREMENTS,
+                                           jitter=chance.random(),
+                                           unreported_requests=unreported)
+        counts[place(*candidates, requirements=requirements).candidate.key] += 1
     return [counts[each.key] for each in candidates]
 
 
@@ -210,37 +218,39 @@
     By the lowest cost alone each sends what comes meanwhile to the same group:
     all sixty requests, where its places are thirteen.
     """
-    assert max(shared_out(unseen=0.0)) == 60
-    counts = shared_out(unseen=60.0)
+    assert max(shared_out(unreported=0.0)) == 60
+    counts = shared_out(unreported=60.0)
     assert max(counts) <= 13
     assert min(counts) > 0
 
 
 def test_fuller_groups_get_less_of_what_is_shared_out():
-    counts = shared_out(unseen=60.0, requests=600)
+    counts = shared_out(unreported=60.0, requests=600)
     emptiest, fullest = sum(counts[0::4]), sum(counts[3::4])
     assert fullest < emptiest
 
 
 def test_few_unseen_requests_go_to_the_emptiest_groups_alone():
-    counts = shared_out(unseen=0.3)
+    counts = shared_out(unreported=0.3)
     assert sum(counts[0::4]) == sum(counts)
 
 
 def test_avoided_group_gets_nothing_of_what_is_shared_out():
-    wishes = [
-        dataclasses.replace(WISH, spread=each / 20, unseen=40.0)
-        for each in range(20)
+    requirement_sets = [
+        dataclasses.replace(REQUIREMENTS,
+                            jitter=each / 20,
+                            unreported_requests=40.0) for each in range(20)
     ]
     chosen = {
-        place(candidate("a", avoided=True), candidate("b", 4),
-              wish=each).candidate.key.name for each in wishes
+        place(candidate("a", is_avoided=True),
+              candidate("b", 4),
+              requirements=each).candidate.key.name for each in requirement_sets
     }
     assert chosen == {"b"}
 
 
 def test_unseen_requests_grow_with_the_load_and_its_age():
-    assert placing.unseen(ENGINE, 1.0, 0, 400.0) == 0.0
-    one = placing.unseen(ENGINE, 1.0, 100, 400.0)
-    assert placing.unseen(ENGINE, 1.0, 200, 400.0) == 2 * one
-    assert placing.unseen(ENGINE, 1.0, 100, 800.0) == 2 * one
+    assert placing.unreported_requests(ENGINE, 1.0, 0, 400.0) == 0.0
+    one = placing.unreported_requests(ENGINE, 1.0, 100, 400.0)
+    assert placing.unreported_requests(ENGINE, 1.0, 200, 400.0) == 2 * one
+    assert placing.unreported_requests(ENGINE, 1.0, 100, 800.0) == 2 * one
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from cardamommill.gateway import demand, flights, model, orders, planning
+from cardamommill.gateway import demand, inflight, model, orders, planning
 from tests.gateway import builders, planners
 
 STATE = model.MemberState
@@ -36,9 +36,9 @@
 
 def scope(large, small, place="a"):
     """Says how many requests are at each group of a model."""
-    loads = {key: flights.GroupLoad(large) for key in LARGES}
-    loads |= {key: flights.GroupLoad(small) for key in SMALLS}
-    loads[LARGES[1]] = flights.GroupLoad(max(0, large - 1))
+    loads = {key: inflight.GroupLoad(large) for key in LARGES}
+    loads |= {key: inflight.GroupLoad(small) for key in SMALLS}
+    loads[LARGES[1]] = inflight.GroupLoad(max(0, large - 1))
     return planning.Scope(frozenset({place}), 2, False, loads, PLACES)
 
 
@@ -155,7 +155,7 @@
                            100 * index + 10 * number,
                            size,
                            place=where)
-            loads[key] = flights.GroupLoad(count)
+            loads[key] = inflight.GroupLoad(count)
     made = planners.Bench(
         found, planning.Scope(frozenset({place}), 2, False, loads, PLACES))
     for _ in range(2):
--- a/tests/gateway/test_reconciliation.py
+++ b/tests/gateway/test_reconciliation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cardamommill.gateway import flights, model, orders, planning
+from cardamommill.gateway import inflight, model, orders, planning
 from tests.gateway import builders, planners
 
 
@@ -48,7 +48,7 @@
     ]
     bench.view.apply_list(leaving, bench.now_ms + 10)
     bench.scope = planning.Scope(frozenset({"a"}), 1, False,
-                                 {joins[0].group: flights.GroupLoad(3)})
+                                 {joins[0].group: inflight.GroupLoad(3)})
     assert not planners.ordered(bench.step(1500), orders.Operation.LEAVE)
     bench.scope = planners.SCOPE
     assert planners.ordered(bench.step(), orders.Operation.LEAVE)
@@ -154,7 +154,7 @@
 def test_members_are_not_asked_where_the_list_or_requests_tell(is_stale):
     bench = planners.Bench(planners.warm(5))
     joins = planners.standing(bench)
-    loads_now = {joins[0].group: flights.GroupLoad(2)} if is_stale else {}
+    loads_now = {joins[0].group: inflight.GroupLoad(2)} if is_stale else {}
     bench.scope = planning.Scope(frozenset({"a"}), 1, False, loads_now)
     age_ms = bench.view.list_stale_ms + 1 if is_stale else 0.0
     bench.view.list_as_of_ms = bench.now_ms - age_ms
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -45,7 +45,7 @@
     one = relay.Relay(node, request, reply)
     if ran:
         known = next(iter(builders.view(builders.runner(1)).known.values()))
-        one.ran_at.append(relay.Target(known))
+        one.may_have_run_at.append(relay.Target(known))
     one.start()
     (work,) = node.work
     asyncio.run(work)
@@ -65,7 +65,7 @@
 
 def played(play, **changes):
     """Runs a coroutine function on a request that is at its first runner."""
-    node = relays.Node(**changes)
+    node = relays.FakeNode(**changes)
 
     async def run():
         one = relays.begin(node)
@@ -114,7 +114,7 @@
         await asyncio.sleep(0)
 
     reply, _ = played(play, kind=model.RouteKind.IDEMPOTENT)
-    assert (reply.status, reply.wholes) == (200, [b"yes"])
+    assert (reply.status, reply.complete_bodies) == (200, [b"yes"])
 
 
 @pytest.mark.parametrize("then", ["refused", "cut"])
@@ -136,7 +136,7 @@
         await asyncio.sleep(0)
 
     reply, _ = played(play, kind=model.RouteKind.IDEMPOTENT)
-    assert (reply.status, reply.wholes) == (500, [b"first"])
+    assert (reply.status, reply.complete_bodies) == (500, [b"first"])
 
 
 def test_request_that_may_run_once_gets_its_runners_failure():
@@ -165,14 +165,14 @@
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
-        node.keys_hold = lacking != "key"
+        node.are_keys_valid = lacking != "key"
         node.repeats_left = 0 if lacking == "budget" else 10
         node.groups = 1 if lacking == "group" else 3
         one.divert("group silent")
         await asyncio.sleep(0)
         assert not first.cancelled
-        node.keys_hold, node.repeats_left, node.groups = True, 10, 3
-        await asyncio.sleep(2 * relay.RESUME_LOOK_MS / 1000)
+        node.are_keys_valid, node.repeats_left, node.groups = True, 10, 3
+        await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         assert first.cancelled
         second = node.exchanges[1]
         second.head(200)
@@ -196,7 +196,7 @@
         one.divert("group silent")
         first.event(2)
         node.groups = 3
-        await asyncio.sleep(2 * relay.RESUME_LOOK_MS / 1000)
+        await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         assert not first.cancelled
         first.complete()
         await asyncio.sleep(0)
@@ -216,11 +216,11 @@
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
-        node.keys_hold = False
+        node.are_keys_valid = False
         first.cut()
         await asyncio.sleep(0.02)
-        node.keys_hold = True
-        await asyncio.sleep(2 * relay.RESUME_LOOK_MS / 1000)
+        node.are_keys_valid = True
+        await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         node.exchanges[1].head(200)
         node.exchanges[1].event(2)
         node.exchanges[1].complete()
@@ -245,7 +245,7 @@
                 exchange.head(200)
                 exchange.event(number + 1)
             one.divert("member does not answer", is_dead=True)
-            await asyncio.sleep(2 * relay.RESUME_LOOK_MS / 1000)
+            await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         assert len(node.exchanges) == (2 if begun else 3)
         assert node.exchanges[1].cancelled is not begun
 
@@ -263,7 +263,7 @@
     async def play(node, one):
         for _ in range(2):
             one.divert("group stands still")
-            await asyncio.sleep(2 * relay.RESUME_LOOK_MS / 1000)
+            await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         assert len(node.exchanges) == 2
         assert not node.exchanges[1].cancelled
 
@@ -302,11 +302,11 @@
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
-        node.keys_hold = False
-        one.deadline_at_ms = clock.now_ms() + 1.2 * relay.RESUME_LOOK_MS
+        node.are_keys_valid = False
+        one.deadline_at_ms = clock.now_ms() + 1.2 * relay.RESUME_POLL_MS
         first.cut()
-        await asyncio.sleep(1.5 * relay.RESUME_LOOK_MS / 1000)
-        node.keys_hold = True
+        await asyncio.sleep(1.5 * relay.RESUME_POLL_MS / 1000)
+        node.are_keys_valid = True
         await asyncio.sleep(0.1)
 
     reply, node = played(play)
--- a/tests/gateway/test_replies.py
+++ b/tests/gateway/test_replies.py
@@ -42,7 +42,7 @@
     2 ms after the 500 in both cases seen. It has to get whole events, then the
     end of its connection without the end of the answer.
     """
-    node = relays.Node()
+    node = relays.FakeNode()
     begun = []
 
     def handler(request, reply):
--- a/tests/gateway/test_replies_transitions.py
+++ b/tests/gateway/test_replies_transitions.py
@@ -76,7 +76,7 @@
     The runner's own end then can't follow. The step is not taken, and the
     request is told of as broken off, once.
     """
-    node = relays.Node()
+    node = relays.FakeNode()
 
     async def work():
         reply, line = _reply()
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -7,8 +7,9 @@
 LONGEST_MS = 300.0
 
 
-def expected(read_ms, first_event_ms):
-    return silence.ExpectedTiming(PASS_MS, LONGEST_MS, read_ms, first_event_ms)
+def expected(prefill_ms, first_event_ms):
+    return silence.ExpectedTiming(PASS_MS, LONGEST_MS, prefill_ms,
+                                  first_event_ms)
 
 
 def streaming(detector, until_ms, start_ms=0.0):
--- a/tests/gateway/test_spares.py
+++ b/tests/gateway/test_spares.py
@@ -1,6 +1,6 @@
 """Tests of which spares are kept and what they load."""
 
-from cardamommill.gateway import flights, loads, model, orders, planning
+from cardamommill.gateway import inflight, loads, model, orders, planning
 from tests.gateway import builders, planners
 
 
@@ -136,8 +136,8 @@
     for name, count in spares.items():
         runners += planners.warm(count, name, start=20 + len(runners))
     scope = planning.Scope(frozenset({"a"}), 1, False, {
-        large: flights.GroupLoad(4),
-        small: flights.GroupLoad(requests)
+        large: inflight.GroupLoad(4),
+        small: inflight.GroupLoad(requests)
     })
     bench = planners.Bench(runners, scope)
     staged = []
--- a/tests/gateway/test_statuspages.py
+++ b/tests/gateway/test_statuspages.py
@@ -14,7 +14,7 @@
                           (statuspages.METRICS_PATH, False, 200),
                           ("/other", True, 404)])
 def test_each_page_has_its_answer(target, is_ready, status):
-    reply = relays.Reply()
+    reply = relays.FakeReply()
     pages = statuspages.StatusPages(lambda: is_ready, metrics.Metrics())
     pages.answer(callers.CallerRequest("GET", target, [], b"", 0.0), reply)
     assert reply.status == status
--- a/tests/gateway/test_stream_machine.py
+++ b/tests/gateway/test_stream_machine.py
@@ -23,7 +23,7 @@
     def __init__(self):
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.node = relays.Node()
+        self.node = relays.FakeNode()
         self.relay = self.loop.run_until_complete(self._begin())
         self.reply = self.relay.reply
         self.ended_well = False
@@ -131,7 +131,7 @@
                    budget=strategies.integers(0, 2),
                    groups=strategies.integers(1, 4))
     def surroundings_change(self, hold, budget, groups):
-        self.node.keys_hold = hold
+        self.node.are_keys_valid = hold
         self.node.repeats_left = budget
         self.node.groups = groups
 
@@ -141,7 +141,7 @@
 
     @stateful.invariant()
     def whole_stream_is_whole(self):
-        if self.reply.ending == "whole" and not self.reply.wholes:
+        if self.reply.ending == "whole" and not self.reply.complete_bodies:
             assert self.ended_well
             assert self.reply.events == list(range(1, LAST + 1))
 
