--- a/cardamommill/gateway/fleetsummary.py
+++ b/cardamommill/gateway/fleetsummary.py
@@ -1,4 +1,4 @@
-"""How the runners of a planner are used, for the log."""
+"""Summarises the groups and runners of a planner for the log."""
 
 from collections.abc import Callable, Iterable
 import dataclasses
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannerState:
-    """What only the planner can tell.
+    """Queries that need the planner's state.
 
     Attributes:
-        is_in_scope: Whether it orders the members of a group.
+        is_in_scope: Whether the planner is responsible for a group.
         is_free: Whether a runner may join a group.
-        spares: What free runners hold.
+        spares: The free runners and the models that they hold.
     """
 
     is_in_scope: Callable[[fleetview.Group], bool]
@@ -26,15 +26,15 @@
             runners: Iterable[fleetview.RunnerRecord], service: str,
             planner_state: PlannerState,
             scope: planning.Scope) -> dict[str, str]:
-    """Returns counts by what runners and groups do, and by model.
+    """Returns counts of groups and runners by state and by model.
 
     Args:
-        groups: Of the service.
-        formations: On their way, of all services.
-        runners: Of the service.
-        service: Its name.
-        planner_state: What only the planner can tell.
-        scope: For whom it plans.
+        groups: The groups of the service.
+        formations: Groups that are being formed, of all services.
+        runners: The runners of the service.
+        service: The name of the service.
+        planner_state: Queries that need the planner's state.
+        scope: The data centres of the planner.
     """
     counts: dict[str, dict[str, int]] = {}
 
--- a/cardamommill/gateway/formations.py
+++ b/cardamommill/gateway/formations.py
@@ -1,67 +1,68 @@
-"""Groups on their way to serving: joined, seen ready, opened, or given up."""
+"""Forms groups: orders joins, checks readiness, opens or gives up."""
 
 from collections.abc import Iterator
 
 from cardamommill.gateway import fleetview, loads, model, orders, planning
 
-# Between two looks at members that should be ready by now, and between two once
-# they are long overdue: such a group mostly waits for an order that was lost or
-# a member that died, and no look hastens that.
-LOOK_AGAIN_MS = 120.0
-LATE_LOOK_AGAIN_MS = 480.0
-OVERDUE_MS = 600.0
-# The first look is so long before they are due: loads that share the store with
-# fewer others than was thought are done sooner.
-SOON_MS = 100.0
-# A formation that takes this many times what it should is given up.
-PATIENCE = 3.0
-PATIENCE_FLOOR_MS = 3000.0
-# Loads take this part of their time before the first request.
-LEAD_LOAD_FACTOR = 0.1
-# A member's join is ordered so often at most. Given up for the first that was
-# not answered, no group of many members was formed while one order in three is
-# lost; with this nearly all are.
+# Intervals between readiness checks of members that should be ready by now, and
+# of members that are long overdue. The latter mostly wait for a lost order or a
+# dead member, which checking more often does not speed up.
+CHECK_INTERVAL_MS = 120.0
+OVERDUE_CHECK_INTERVAL_MS = 480.0
+OVERDUE_AFTER_MS = 600.0
+# The first check comes this long before the members are due: loads that share
+# the store with fewer others than estimated finish sooner.
+EARLY_CHECK_MS = 100.0
+# A formation is given up after this many times its planned duration, but not
+# before the minimum.
+TIMEOUT_FACTOR = 3.0
+MIN_TIMEOUT_MS = 3000.0
+# Before the first request, a load takes this fraction of its usual time.
+LOAD_FACTOR_BEFORE_TRAFFIC = 0.1
+# Join orders per member without success before the group is given up. With a
+# single one, no large group was formed while one order in three was lost; with
+# this many, nearly all are formed.
 MAX_JOIN_ATTEMPTS = 6
-# From the end of a join to its word in the list.
+# Margin from the end of a join until the list of runners shows it.
 DUE_MARGIN_MS = 20.0
 
 
 class Formations:
-    """All formations of one planner."""
+    """All groups that one planner is forming."""
 
     def __init__(self, view: fleetview.FleetView, name: str, pending: set[str],
-                 ledger: loads.LoadRateLimiter) -> None:
-        """Makes it.
+                 load_limiter: loads.LoadRateLimiter) -> None:
+        """Creates an empty set of formations.
 
         Args:
-            view: What is believed.
-            name: Begins all names of groups.
-            pending: Runners with an order under way.
-            ledger: Counts loads.
+            view: The known state of all runners.
+            name: Prefix of all group names.
+            pending: Runners with an order in flight.
+            load_limiter: Records the loads that are started.
         """
         self._view = view
         self._name = name
         self._pending = pending
-        self._ledger = ledger
+        self._load_limiter = load_limiter
         self._count = 0
         self._epoch = 0
         self.by_key: dict[model.GroupKey, planning.Formation] = {}
 
     def observe_epoch(self, epoch: int) -> None:
-        """Has all later groups come after an epoch that was seen."""
+        """Ensures that later groups get a higher epoch than this one."""
         self._epoch = max(self._epoch, epoch)
 
     def has_member(self, runner: str) -> bool:
-        """Whether a runner is in any of them."""
+        """Whether a runner is a member of a group that is being formed."""
         return any(runner in each.members for each in self.by_key.values())
 
     def for_order(self, order: orders.Order) -> planning.Formation | None:
-        """Returns the formation that an order belongs to."""
+        """Returns the formation that an order belongs to, if any."""
         return self.by_key.get(order.group) if order.group else None
 
     def advance(self, service: str, engine: model.Engine,
                 now_ms: float) -> Iterator[planning.Action]:
-        """Returns what to do now for those of a service."""
+        """Yields the next actions for the formations of a service."""
         for formation in list(self.by_key.values()):
             if formation.service == service:
                 yield from self._advance_one(formation, engine, now_ms)
@@ -69,10 +70,10 @@
     def _advance_one(self, formation: planning.Formation, engine: model.Engine,
                      now_ms: float) -> Iterator[planning.Action]:
         members = [self._view.known.get(each) for each in formation.members]
-        fault = self._fault(formation, members, now_ms)
-        if fault:
+        failure = self._failure_reason(formation, members, now_ms)
+        if failure:
             del self.by_key[formation.key]
-            yield from self.leave(formation.key, members, fault)
+            yield from self.leave(formation.key, members, failure)
             return
         unready = [
             each for each in members
@@ -80,14 +81,15 @@
         ]
         head = members[0]
         assert head is not None and head.membership is not None or unready
-        yield from self._join_again(formation)
+        yield from self._retry_joins(formation)
         if unready:
-            if now_ms >= max(formation.due_ms - SOON_MS,
+            if now_ms >= max(formation.due_ms - EARLY_CHECK_MS,
                              formation.next_check_ms):
-                is_late = now_ms > formation.due_ms + OVERDUE_MS
-                formation.next_check_ms = now_ms + (LATE_LOOK_AGAIN_MS if
-                                                    is_late else LOOK_AGAIN_MS)
-                yield from self._look(unready, now_ms)
+                is_overdue = now_ms > formation.due_ms + OVERDUE_AFTER_MS
+                formation.next_check_ms = now_ms + (OVERDUE_CHECK_INTERVAL_MS
+                                                    if is_overdue else
+                                                    CHECK_INTERVAL_MS)
+                yield from self._check_members(unready, now_ms)
             return
         assert head is not None and head.membership is not None
         if head.membership.state is model.MemberState.OPEN:
@@ -106,8 +108,8 @@
                                expected_seq=head.orders_begun,
                                reason="all members ready")
         elif formation.open_accepted_ms:
-            # The head serves this long after it accepted; were it not so, it
-            # would refuse what is sent, as not run.
+            # The head serves this long after it accepted; if it does not yet,
+            # it refuses requests as not run.
             if now_ms >= formation.open_accepted_ms + engine.form_ms + 10:
                 self._view.record_open_group(head.runner.id, formation.key,
                                              formation.model.name)
@@ -115,20 +117,20 @@
             formation.open_sent_ms = 0.0
             yield planning.ReadList()
 
-    def _look(self, unready: list[fleetview.RunnerRecord],
-              now_ms: float) -> Iterator[planning.Action]:
-        # The list is told at once and reports are old, but a node that is cut
-        # off from the store would wait for the list for as long as that lasts:
-        # a group stood ready and unopened for 8 s.
+    def _check_members(self, unready: list[fleetview.RunnerRecord],
+                       now_ms: float) -> Iterator[planning.Action]:
+        # The list is updated at once while reports lag behind. A node that is
+        # cut off from the store can't read the list, though: a group waited for
+        # 8 s, ready but not opened, until the store could be reached again.
         if now_ms - self._view.list_as_of_ms < self._view.list_stale_ms:
             yield planning.ReadList()
             return
         for each in unready:
-            yield planning.Probe(each.runner.id, "should be ready")
+            yield planning.Probe(each.runner.id, "join should be complete")
 
-    def _fault(self, formation: planning.Formation,
-               members: list[fleetview.RunnerRecord | None],
-               now_ms: float) -> str:
+    def _failure_reason(self, formation: planning.Formation,
+                        members: list[fleetview.RunnerRecord | None],
+                        now_ms: float) -> str:
         if formation.refused:
             return formation.refused
         for runner_id, known in zip(formation.members, members, strict=True):
@@ -149,15 +151,15 @@
                 return f"{runner_id} did not join"
         took_ms = now_ms - formation.started_ms
         planned_ms = formation.due_ms - formation.started_ms
-        if took_ms > max(PATIENCE_FLOOR_MS, PATIENCE * planned_ms):
+        if took_ms > max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * planned_ms):
             return f"not ready after {took_ms:.0f} ms"
         if formation.open_attempts > 4:
-            return "head does not open"
+            return "head did not open after repeated orders"
         return ""
 
     def adopt(self, group: fleetview.Group, service: str,
               served: model.ServedModel, now_ms: float) -> None:
-        """Goes on with a formation that another planner began."""
+        """Takes over a formation that another planner started."""
         members = tuple(
             group.members[rank].runner.id for rank in sorted(group.members))
         if sorted(group.members) != list(range(served.size)):
@@ -170,33 +172,33 @@
               served: model.ServedModel, scope: planning.Scope,
               picked: list[fleetview.RunnerRecord],
               now_ms: float) -> Iterator[planning.Action]:
-        """Begins a group with these members, the head first."""
+        """Starts a group with these members, the head first."""
         self._count += 1
         self._epoch += 1
         key = model.GroupKey(f"{self._name}-{self._count}", self._epoch)
         cold = sum(not planning.is_warm(each, served) for each in picked)
-        # All planners load at the same time.
-        at_once = cold * scope.count / max(1, len(scope.data_centres))
-        slowed = max(1.0, at_once / engine.loads_at_once)
+        # The planners of all data centres load at the same time.
+        concurrent_loads = cold * scope.count / max(1, len(scope.data_centres))
+        slowdown = max(1.0, concurrent_loads / engine.loads_at_once)
         longest_ms = max(planning.join_ms(each, served) for each in picked)
         if scope.is_before_traffic and cold:
-            longest_ms *= slowed * LEAD_LOAD_FACTOR
+            longest_ms *= slowdown * LOAD_FACTOR_BEFORE_TRAFFIC
         if not scope.is_before_traffic:
-            self._ledger.note(cold, now_ms)
+            self._load_limiter.note(cold, now_ms)
         members = tuple(each.runner.id for each in picked)
         formation = planning.Formation(key, service, served, members, now_ms,
                                        now_ms + longest_ms + DUE_MARGIN_MS,
                                        cold)
         self.by_key[key] = formation
-        yield from self._joins(formation)
+        yield from self._join_all(formation)
 
-    def _joins(self,
-               formation: planning.Formation) -> Iterator[planning.Action]:
+    def _join_all(self,
+                  formation: planning.Formation) -> Iterator[planning.Action]:
         for member in formation.members:
-            yield self._join(formation, member, "new group")
+            yield self._join_order(formation, member, "new group")
 
-    def _join(self, formation: planning.Formation, member: str,
-              reason: str) -> orders.Order:
+    def _join_order(self, formation: planning.Formation, member: str,
+                    reason: str) -> orders.Order:
         return orders.Order(member,
                             orders.Operation.JOIN,
                             formation.key,
@@ -205,52 +207,54 @@
                             expected_seq=self._view.known[member].orders_begun,
                             reason=reason)
 
-    def _join_again(self,
-                    formation: planning.Formation) -> Iterator[planning.Action]:
-        """Orders members again whose join may not have come through.
+    def _retry_joins(
+            self, formation: planning.Formation) -> Iterator[planning.Action]:
+        """Repeats join orders that may not have arrived.
 
-        The runner takes the same join twice for one, and names the count that
-        it has by now: one that is carried out late is refused.
+        A runner ignores a join that it has already carried out. The repeated
+        order carries the runner's current order count, so a delayed older one
+        is refused.
         """
         for member in list(formation.unanswered_joins):
             known = self._view.known[member]
             place = known.membership
             if place is not None and place.key == formation.key:
-                # The answer was lost, or the order carried out late.
+                # The answer was lost, or the order was carried out late.
                 del formation.unanswered_joins[member]
             elif member not in self._pending and place is None:
-                yield self._join(formation, member, "no answer to the last")
+                yield self._join_order(formation, member,
+                                       "no answer to the previous join")
 
     def join_refused(self, formation: planning.Formation, runner: str,
                      reason: str, may_retry: bool) -> None:
-        """Notes that a member did not answer, or refused.
+        """Records that a member refused its join or did not answer.
 
         Args:
-            formation: Its group.
-            runner: The member.
-            reason: What it said.
+            formation: The group that it should join.
+            runner: The id of the member.
+            reason: What it answered.
             may_retry: Whether it may accept the same order later.
         """
-        tries = formation.unanswered_joins.get(runner, 0) + 1
-        formation.unanswered_joins[runner] = tries
-        if not may_retry or tries >= MAX_JOIN_ATTEMPTS:
+        attempts = formation.unanswered_joins.get(runner, 0) + 1
+        formation.unanswered_joins[runner] = attempts
+        if not may_retry or attempts >= MAX_JOIN_ATTEMPTS:
             formation.refused = f"{runner} refused: {reason}"
 
     def join_accepted(self, formation: planning.Formation, runner: str,
                       now_ms: float) -> None:
-        """Notes that a member joins; the group is due later if it is late."""
+        """Records that a member joins; extends the due time after a retry."""
         if formation.unanswered_joins.pop(runner, 0):
             known = self._view.known[runner]
-            takes_ms = planning.join_ms(known, formation.model)
+            expected_ms = planning.join_ms(known, formation.model)
             formation.due_ms = max(formation.due_ms,
-                                   now_ms + takes_ms + DUE_MARGIN_MS)
+                                   now_ms + expected_ms + DUE_MARGIN_MS)
 
     def leave(self, key: model.GroupKey, members: list[fleetview.RunnerRecord] |
               list[fleetview.RunnerRecord | None],
               reason: str) -> Iterator[planning.Action]:
-        """Has all members that can be reached leave a group."""
-        # A member leaves itself before it joins anything else: its old head
-        # may still be open and out of reach.
+        """Yields orders to leave a group for all reachable members."""
+        # Each member gets its own order to leave before it joins another group:
+        # its old head may still be open and out of reach.
         for known in members:
             if known is None or known.runner.id in self._pending:
                 continue
@@ -259,10 +263,12 @@
             membership = known.membership
             if membership is None or membership.key != key:
                 continue
-            # A runner that is in another group by now has nothing to leave and
-            # answers as if it were done. Taken for an order that counted, two
-            # of them made up for what another planner had ordered, and the
-            # next join took it out of an open group.
+            # A runner that is already in another group has nothing to leave and
+            # answers as if it had left, without counting the order. Such
+            # answers were counted as orders: two of them made up for two orders
+            # of another planner, and the next join, with a count that now
+            # matched, took the runner out of an open group. So the order
+            # carries the count, if it is known.
             count = known.orders_begun if known.has_exact_order_count else None
             yield orders.Order(known.runner.id,
                                orders.Operation.LEAVE,
--- a/cardamommill/gateway/orders.py
+++ b/cardamommill/gateway/orders.py
@@ -1,4 +1,4 @@
-"""Orders that a planner gives to runners."""
+"""Orders that a planner sends to runners."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Operation(enum.Enum):
-    """What a runner is told to do."""
+    """The operation that a runner is ordered to carry out."""
 
     JOIN = "join"
     OPEN = "open"
@@ -21,14 +21,15 @@
     """One order to one runner.
 
     Attributes:
-        runner: Its id.
-        operation: What to do.
-        group: Which formation; none for `STAGE`.
-        model: For `JOIN` and `STAGE`.
-        members: For `JOIN`, ids in order of rank.
-        expected_seq: The runner refuses where it has begun another order
-            meanwhile. Two planners that don't know of each other, or an order
-            that is carried out seconds late, then change nothing.
+        runner: The runner's id.
+        operation: The operation to carry out.
+        group: The formation; none for `STAGE`.
+        model: The model, for `JOIN` and `STAGE`.
+        members: Ids of all members in order of rank, for `JOIN`.
+        expected_seq: The order count that the runner must have; it refuses the
+            order if it has started another one meanwhile. So conflicting orders
+            of two planners, or an order that arrives seconds late, have no
+            effect.
         reason: For the log.
     """
 
--- a/cardamommill/gateway/planner.py
+++ b/cardamommill/gateway/planner.py
@@ -1,8 +1,9 @@
-"""Keeps groups standing in the data centres that this node plans for.
+"""Plans the groups of the data centres that this node is responsible for.
 
-Two planners may act at once (a cut, a node that is thought dead): each join
-names the count of orders that its runner must have, so the second one is
-refused, and names of groups are never used twice. No lease is needed.
+Two planners may act at the same time, for example during a network partition or
+while a node is wrongly believed dead. Each join carries the order count that
+its runner must have, so the runner refuses the second join, and group names are
+never reused. No lease is needed.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,41 +27,48 @@
 
 
 class Planner:
-    """Decides orders; pure but for its own memory of what it began."""
+    """Decides which orders to send.
+
+    It does no input or output; its only state is what it remembers of the
+    groups and loads that it started.
+    """
 
     def __init__(self, view: fleetview.FleetView, name: str) -> None:
-        """Makes it.
+        """Creates a planner.
 
         Args:
-            view: What is believed; the shell updates it.
-            name: Unique to this life of this node; begins all group names.
+            view: The known state of all runners; the caller keeps it up to
+                date.
+            name: Unique to this incarnation of the node; prefix of all group
+                names.
         """
         self._view = view
         self._pending: set[str] = set()
-        ledger = loads.LoadRateLimiter()
+        load_limiter = loads.LoadRateLimiter()
         self._formations = formations.Formations(view, name, self._pending,
-                                                 ledger)
+                                                 load_limiter)
         self._overload = overload.OverloadDetector()
         self._demand = demand.DemandEstimator()
-        self._spares = spares.Spares(view, ledger)
-        slow = consolidation.Consolidation(self._formations)
+        self._spares = spares.Spares(view, load_limiter)
+        consolidator = consolidation.Consolidation(self._formations)
         self._reconciliation = reconciliation.Reconciliation(
-            view, self._formations, slow)
-        self._rebalancing = rebalancing.Rebalancing(self._demand, ledger, slow)
+            view, self._formations, consolidator)
+        self._rebalancing = rebalancing.Rebalancing(self._demand, load_limiter,
+                                                    consolidator)
         self._allocation = allocation.Allocation(view, self._formations,
                                                  self._pending, self._overload,
-                                                 self._spares, slow,
+                                                 self._spares, consolidator,
                                                  self._rebalancing,
                                                  self._demand)
 
     @property
     def formations(self) -> dict[model.GroupKey, planning.Formation]:
-        """Groups on their way to serving."""
+        """Formations that are not serving yet, by group."""
         return self._formations.by_key
 
     def step(self, service: model.Service, scope: planning.Scope,
              now_ms: float) -> list[planning.Action]:
-        """Returns what to do now for one service."""
+        """Returns the actions to take now for one service."""
         engine = service.engine
         if engine is None:
             return []
@@ -75,16 +83,16 @@
         actions += self._reconciliation.step(groups, service.name, engine,
                                              scope, now_ms)
         actions += self._allocation.step(service.name, engine, scope, now_ms)
-        return list(_one_order_each(actions))
+        return list(_first_order_per_runner(actions))
 
-    # What the shell tells.
+    # Results of actions, reported by the caller.
 
     def sent(self, runner: str) -> None:
-        """Notes that an order to a runner is under way."""
+        """Records that an order to a runner is in flight."""
         self._pending.add(runner)
 
     def accepted(self, order: orders.Order, now_ms: float) -> None:
-        """Notes that an order was accepted."""
+        """Records that an order was accepted."""
         self._pending.discard(order.runner)
         formation = self._formations.for_order(order)
         if formation is None:
@@ -99,15 +107,15 @@
                 reason: str,
                 now_ms: float,
                 may_retry: bool = False) -> None:
-        """Notes that an order was not accepted, or perhaps not.
+        """Records that an order was refused or its outcome is unknown.
 
-        The runner gets no other order until `rechecked`: what is believed of it
-        is wrong, and its report tells only later what is true.
+        The runner gets no other order until `rechecked`: its known state is
+        wrong, and its report shows the true state only after a delay.
 
         Args:
             order: The order.
-            reason: What the runner said.
-            now_ms: The time.
+            reason: What the runner answered.
+            now_ms: The current time.
             may_retry: Whether the same order may be accepted later.
         """
         if order.operation is orders.Operation.STAGE:
@@ -119,11 +127,11 @@
                                           may_retry)
 
     def rechecked(self, order: orders.Order) -> None:
-        """Notes that a runner was asked after an order that it refused."""
+        """Records that a runner was probed after it refused an order."""
         self._pending.discard(order.runner)
 
     def summary(self, service: str, scope: planning.Scope) -> dict[str, str]:
-        """Returns how the runners of this planner are used, for the log."""
+        """Returns counts of this planner's groups and runners, for the log."""
         return fleetsummary.summary(
             self._view.groups(service).values(), self.formations.values(),
             self._view.runners_of(service), service,
@@ -132,12 +140,13 @@
                 self._allocation.is_free, self._spares), scope)
 
 
-def _one_order_each(
+def _first_order_per_runner(
         actions: Iterable[planning.Action]) -> Iterator[planning.Action]:
-    """Yields actions without a second order to a runner in one step.
+    """Yields actions, keeping only the first order to each runner.
 
-    A group that is given up may be seen once more in the same step, as one
-    that another planner never finished; each order names the count before it.
+    A formation that is given up may be found again in the same step, as one
+    that another planner never completed. Each order carries the order count
+    before it, so a second one would be refused.
     """
     ordered = set()
     for action in actions:
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -1,4 +1,4 @@
-"""Types of planning: actions, formations, and for whom it is done."""
+"""Data types of planning: actions, formations and the planning scope."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -6,7 +6,7 @@
 
 from cardamommill.gateway import fleetview, inflight, model, orders
 
-# A join of the model that the runner's last group had.
+# Joining a group whose model the runner served last takes this long.
 REJOIN_MS = 200.0
 
 
@@ -20,12 +20,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadList:
-    """Reads the list of runners now: a report would be older."""
+    """Reads the list of runners now.
+
+    It is newer than a report, which lags behind the runner's state.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupOpened:
-    """Tells all nodes that a group serves."""
+    """Announces to all nodes that a group is open."""
 
     key: model.GroupKey
     service: str
@@ -39,7 +42,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Formation:
-    """A group on its way to serving."""
+    """A group that is being formed and does not serve yet.
+
+    Attributes:
+        key: The group.
+        service: The name of its service.
+        model: The model that it will serve.
+        members: Runner ids in order of rank.
+        started_ms: When it was started, or adopted from another planner.
+        due_ms: When all members should be ready.
+        loads: How many members load the model from the weight store.
+        next_check_ms: The earliest time of the next readiness check.
+        open_sent_ms: When the head was last ordered to open; 0 if it has to be
+            ordered.
+        open_accepted_ms: When the head accepted that; 0 before.
+        open_attempts: How often the head was ordered to open.
+        refused: Why a join was refused for good; empty if none was.
+        unanswered_joins: How many join orders were refused or not answered, by
+            member.
+    """
 
     key: model.GroupKey
     service: str
@@ -53,21 +74,20 @@
     open_accepted_ms: float = 0.0
     open_attempts: int = 0
     refused: str = ""
-    # Members that did not answer their join, and how often.
     unanswered_joins: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scope:
-    """For whom a planner plans at this moment.
+    """The data centres that a planner is responsible for, and their load.
 
     Attributes:
-        data_centres: Those whose runners it orders.
-        count: How many data centres there are; they share limits.
-        is_before_traffic: Whether no request has arrived yet: loads are cheap
-            then.
-        loads: Requests of all nodes per group.
-        places: All data centres.
+        data_centres: Those whose runners get orders from this planner.
+        count: The number of all data centres; they share the load limits.
+        is_before_traffic: Whether no request has arrived yet; model loads take
+            less time then.
+        loads: Requests of all nodes, by group.
+        places: The names of all data centres.
     """
 
     data_centres: frozenset[str]
@@ -77,19 +97,19 @@
     places: tuple[str, ...] = ()
 
     def load(self, key: model.GroupKey) -> inflight.GroupLoad:
-        """Returns what is at a group."""
+        """Returns the load of a group."""
         return self.loads.get(key, inflight.NO_LOAD)
 
     def total_load(self,
                    groups: Iterable[fleetview.Group]) -> inflight.GroupLoad:
-        """Returns what is at some groups together."""
+        """Returns the summed load of several groups."""
         return functools.reduce(inflight.GroupLoad.plus,
                                 (self.load(each.key) for each in groups),
                                 inflight.NO_LOAD)
 
 
 def is_ready(known: fleetview.RunnerRecord, key: model.GroupKey) -> bool:
-    """Whether a runner says that it is ready in a group, or serves."""
+    """Whether a runner reports that it is ready in a group, or open."""
     membership = known.membership
     return (membership is not None and membership.key == key and
             membership.state
@@ -97,12 +117,12 @@
 
 
 def is_warm(known: fleetview.RunnerRecord, served: model.ServedModel) -> bool:
-    """Whether a runner joins a group of a model without a load."""
+    """Whether a runner can join a group of a model without loading it."""
     return join_ms(known, served) <= served.warm_ms
 
 
 def join_ms(known: fleetview.RunnerRecord, served: model.ServedModel) -> float:
-    """Returns what it takes a runner to join a group of a model."""
+    """Returns how long a runner takes to join a group of a model."""
     if known.last_model == served.name:
         return REJOIN_MS
     if served.name in known.status.staged:
