--- a/cardamommill/gateway/consolidation.py
+++ b/cardamommill/gateway/consolidation.py
@@ -1,4 +1,4 @@
-"""Slow groups over two domains that are given up for a quick one."""
+"""Replaces groups across fabric domains by single-domain groups."""
 
 import collections
 from collections.abc import Callable, Iterator
@@ -12,24 +12,33 @@
     planning,
 )
 
-# A head that was told to close finishes what it runs: a long answer of a slow
-# group takes some 9 s. After this its members leave all the same.
-CLOSE_MS = 10_000.0
-# Another planner may go on with it after that.
-FORGOTTEN_MS = 2 * CLOSE_MS
-# What must be gained, in quick groups: nothing serves for some 3 s meanwhile,
-# and two slow groups do four fifths of what a quick one does.
-LEAST_GAIN = 0.5
-# A close that was lost on its way is sent again.
-CLOSE_AGAIN_MS = 1500.0
-QUICKER = "a quick group can be made"
+# Time for a closed head to finish its requests, after which its members leave
+# anyway. A long answer of a group across domains takes about 9 s.
+CLOSE_TIMEOUT_MS = 10_000.0
+# After this a retired group is no longer tracked, so another planner may adopt
+# it.
+RETIRING_EXPIRY_MS = 2 * CLOSE_TIMEOUT_MS
+# Minimum gain, in single-domain groups: nothing is served for about 3 s
+# meanwhile, and two groups across domains do four fifths of the work of one in
+# a single domain.
+MIN_GAIN = 0.5
+# A close that may have been lost is repeated after this.
+CLOSE_RETRY_MS = 1500.0
+RETIRE_REASON = "a single-domain group can be formed"
 
 IsFree = Callable[[fleetview.RunnerRecord], bool]
 
 
 @dataclasses.dataclass(slots=True)
-class _GivenUp:
-    """A group that is being given up, since when, and when it was last told."""
+class _RetiringGroup:
+    """A group that is being retired.
+
+    Attributes:
+        service: The name of its service.
+        model: The name of its model.
+        since_ms: When it was first ordered to close.
+        sent_ms: When it was last ordered to close.
+    """
 
     service: str
     model: str
@@ -38,105 +47,108 @@
 
 
 class Consolidation:
-    """Gives up groups over two domains where a whole one can be made.
+    """Retires groups across domains where single-domain ones can be formed.
 
-    Survivors in two domains make a group that takes some 2.5 times as long
-    for everything. Formed in need, such groups stayed for good: after some
-    time of high load all groups of the larger model were of that kind, and
+    A group of survivors from two domains takes about 2.5 times as long for
+    everything. Without consolidation such groups stayed for good: after a
+    period of high load all groups of the larger model spanned domains, and
     their first events came too late for most callers.
     """
 
-    def __init__(self, made: formations.Formations) -> None:
-        """Makes it.
+    def __init__(self, active_formations: formations.Formations) -> None:
+        """Creates a consolidation.
 
         Args:
-            made: Orders members to leave.
+            active_formations: Creates the orders to leave.
         """
-        self._formations = made
-        self._given_up: dict[model.GroupKey, _GivenUp] = {}
+        self._formations = active_formations
+        self._retiring: dict[model.GroupKey, _RetiringGroup] = {}
 
     def retire(self, service: str, group: fleetview.Group, reason: str,
                now_ms: float) -> Iterator[planning.Action]:
-        """Closes a group; its members leave once it has finished."""
-        self._given_up[group.key] = _GivenUp(service, group.model, now_ms,
-                                             now_ms)
+        """Closes a group; its members leave once it has drained."""
+        self._retiring[group.key] = _RetiringGroup(service, group.model, now_ms,
+                                                   now_ms)
         yield _close(group, reason)
 
     def is_retiring(self, key: model.GroupKey) -> bool:
-        """Whether a group is being given up."""
-        return key in self._given_up
+        """Whether a group is being retired."""
+        return key in self._retiring
 
     def is_retiring_model(self, service: str, model_name: str) -> bool:
-        """Whether groups of a model are being given up.
+        """Whether groups of a model are being retired.
 
-        Their members come free one after the other, and would make a slow
-        group again.
+        Their members become free one after the other, and must not form a group
+        across domains again.
         """
         return any(each.service == service and each.model == model_name
-                   for each in self._given_up.values())
+                   for each in self._retiring.values())
 
     def step(self, service: str, engine: model.Engine,
              groups: dict[model.GroupKey, fleetview.Group],
              runners: list[fleetview.RunnerRecord], is_free: IsFree,
              now_ms: float) -> Iterator[planning.Action]:
-        """Returns what to do for the groups of one data centre.
+        """Yields the actions for the groups of one data centre.
 
         Args:
-            service: Whose groups.
-            engine: Of the service.
-            groups: All that are known.
-            runners: Those of the data centre.
+            service: The name of the service.
+            engine: The engine of the service.
+            groups: All known groups of the service.
+            runners: The runners of the data centre.
             is_free: Whether a runner may join a group.
-            now_ms: The time.
+            now_ms: The current time.
         """
         ids = {each.runner.id for each in runners}
-        for key, given_up in list(self._given_up.items()):
-            if given_up.service != service:
+        for key, retiring in list(self._retiring.items()):
+            if retiring.service != service:
                 continue
             group = groups.get(key)
-            if group is None or now_ms - given_up.since_ms > FORGOTTEN_MS:
-                del self._given_up[key]
-            elif _all_in(group, ids):
-                yield from self._go_on(group, given_up, now_ms)
+            if group is None or now_ms - retiring.since_ms > RETIRING_EXPIRY_MS:
+                del self._retiring[key]
+            elif _is_within(group, ids):
+                yield from self._continue_retiring(group, retiring, now_ms)
         for served in engine.models:
             if not self.is_retiring_model(service, served.name):
-                yield from self._begin(service, engine, served, groups, runners,
+                yield from self._start(service, engine, served, groups, runners,
                                        is_free, now_ms)
 
-    def _go_on(self, group: fleetview.Group, given_up: "_GivenUp",
-               now_ms: float) -> Iterator[planning.Action]:
+    def _continue_retiring(self, group: fleetview.Group,
+                           retiring: "_RetiringGroup",
+                           now_ms: float) -> Iterator[planning.Action]:
         head = group.head
         state = head.membership.state if head and head.membership else None
-        finishes = state in (model.MemberState.OPEN, model.MemberState.CLOSING)
-        if finishes and now_ms - given_up.since_ms < CLOSE_MS:
-            is_told = state is model.MemberState.CLOSING
-            if not is_told and now_ms - given_up.sent_ms > CLOSE_AGAIN_MS:
-                given_up.sent_ms = now_ms
-                yield _close(group, "not closed yet")
+        is_draining = state in (model.MemberState.OPEN,
+                                model.MemberState.CLOSING)
+        if is_draining and now_ms - retiring.since_ms < CLOSE_TIMEOUT_MS:
+            is_closing = state is model.MemberState.CLOSING
+            if not is_closing and now_ms - retiring.sent_ms > CLOSE_RETRY_MS:
+                retiring.sent_ms = now_ms
+                yield _close(group, "previous close not confirmed")
             return
         yield from self._formations.leave(group.key,
                                           list(group.members.values()),
-                                          "given up for a quick group")
+                                          "retired group is dissolved")
 
-    def _begin(self, service: str, engine: model.Engine,
+    def _start(self, service: str, engine: model.Engine,
                served: model.ServedModel, groups: dict[model.GroupKey,
                                                        fleetview.Group],
                runners: list[fleetview.RunnerRecord], is_free: IsFree,
                now_ms: float) -> Iterator[planning.Action]:
         ids = {each.runner.id for each in runners}
-        slow = [
+        spanning = [
             each for each in groups.values()
             if each.model == served.name and each.is_open and len(each.members)
-            == served.size and _all_in(each, ids) and len(each.domains) > 1
+            == served.size and _is_within(each, ids) and len(each.domains) > 1
         ]
-        if not slow:
+        if not spanning:
             return
         warm = collections.Counter(
             known.status.domain
             for known in runners
             if is_free(known) and planning.is_warm(known, served))
-        for group in _worth_it(slow, warm, served.size, engine.far_factor):
-            yield from self.retire(service, group, QUICKER, now_ms)
+        for group in _groups_to_retire(spanning, warm, served.size,
+                                       engine.far_factor):
+            yield from self.retire(service, group, RETIRE_REASON, now_ms)
 
 
 def _close(group: fleetview.Group, reason: str) -> orders.Order:
@@ -149,27 +161,28 @@
                         reason=reason)
 
 
-def _all_in(group: fleetview.Group, ids: set[str]) -> bool:
+def _is_within(group: fleetview.Group, ids: set[str]) -> bool:
     return all(each.runner.id in ids for each in group.members.values())
 
 
-def _worth_it(slow: list[fleetview.Group], warm: "collections.Counter[str]",
-              size: int, far_factor: float) -> list[fleetview.Group]:
-    """Returns the fewest groups whose members make enough quick ones.
+def _groups_to_retire(spanning: list[fleetview.Group],
+                      warm: "collections.Counter[str]", size: int,
+                      far_factor: float) -> list[fleetview.Group]:
+    """Returns the fewest groups to retire for a sufficient gain.
 
     Args:
-        slow: Groups over two domains.
-        warm: Free runners that are quick to join, by domain.
-        size: Members a group.
-        far_factor: How much longer a slow group takes for everything.
+        spanning: Groups across domains.
+        warm: Free runners that hold the model, by domain.
+        size: Members per group.
+        far_factor: How much longer a group across domains takes for everything.
     """
     before = sum(count // size for count in warm.values())
-    for domain in sorted({name for each in slow for name in each.domains}):
-        ranked = sorted(slow, key=lambda each: -each.domains[domain])
+    for domain in sorted({name for each in spanning for name in each.domains}):
+        ranked = sorted(spanning, key=lambda each: -each.domains[domain])
         free = collections.Counter(warm)
-        for taken, group in enumerate(ranked, start=1):
+        for retired_count, group in enumerate(ranked, start=1):
             free += group.domains
-            made = sum(count // size for count in free.values()) - before
-            if made - taken / far_factor >= LEAST_GAIN:
-                return ranked[:taken]
+            gained = sum(count // size for count in free.values()) - before
+            if gained - retired_count / far_factor >= MIN_GAIN:
+                return ranked[:retired_count]
     return []
--- a/cardamommill/gateway/loads.py
+++ b/cardamommill/gateway/loads.py
@@ -1,32 +1,33 @@
-"""How many loads from the weight store may begin."""
+"""Limits the rate of loads from the weight store."""
 
 from cardamommill.gateway import model, planning
 
-# Part of the permitted rate of loads that the planners use together. A planner
-# that takes over does not know what the one before began: with little more than
-# half, even two of each data centre within one window stay within the bound.
+# Ratio of the permitted load rate that all planners use together. A planner
+# that takes over does not know which loads its predecessor started: at little
+# more than half of the rate, even two planners per data centre within one
+# window stay within the limit.
 LOAD_SHARE = 0.55
 LOAD_WINDOW_MS = 5000.0
 
 
 class LoadRateLimiter:
-    """Counts the loads that one planner began."""
+    """Limits the loads that one planner starts."""
 
     def __init__(self) -> None:
-        self._loads_ms: list[float] = []
+        self._started_ms: list[float] = []
 
     def note(self, count: int, now_ms: float) -> None:
-        """Notes that loads begin."""
-        self._loads_ms += [now_ms] * count
+        """Records that loads start now."""
+        self._started_ms += [now_ms] * count
 
     def may_load(self, engine: model.Engine, scope: planning.Scope,
                  now_ms: float) -> bool:
-        """Whether one more keeps to this planner's part of the rate."""
+        """Whether one more load is within this planner's part of the rate."""
         if scope.is_before_traffic:
             return True
-        self._loads_ms = [
-            each for each in self._loads_ms if now_ms - each < LOAD_WINDOW_MS
+        self._started_ms = [
+            each for each in self._started_ms if now_ms - each < LOAD_WINDOW_MS
         ]
         limit = (LOAD_SHARE * engine.loads_per_s * LOAD_WINDOW_MS / 1000 *
                  len(scope.data_centres) / scope.count)
-        return len(self._loads_ms) + 1 <= limit
+        return len(self._started_ms) + 1 <= limit
