--- a/tests/gateway/planners.py
+++ b/tests/gateway/planners.py
@@ -1,14 +1,14 @@
-"""A planner with runners that obey at once."""
+"""A planner with simulated runners that carry out orders at once."""
 
 from cardamommill.gateway import model, orders, planner, planning
 from tests.gateway import builders
 
 SCOPE = planning.Scope(frozenset({"a"}), 1, False, {})
-LEAD = planning.Scope(frozenset({"a"}), 1, True, {})
+BEFORE_TRAFFIC = planning.Scope(frozenset({"a"}), 1, True, {})
 STATE = model.MemberState
 
 
-def ordered(actions, operation):
+def orders_of(actions, operation):
     return [
         each for each in actions
         if isinstance(each, orders.Order) and each.operation is operation
@@ -16,7 +16,7 @@
 
 
 class Bench:
-    """A planner with its view, and runners that obey at once."""
+    """A planner and its view of runners that carry out orders at once."""
 
     def __init__(self, runners, scope=SCOPE):
         self.view = builders.view(*runners)
@@ -47,7 +47,7 @@
                                self.now_ms)
         self.planner.accepted(order, self.now_ms)
 
-    def become(self, order, state):
+    def set_state(self, order, state):
         known = self.view.known[order.runner]
         place = builders.member(order.group, order.members.index(order.runner),
                                 state)
@@ -55,18 +55,18 @@
                                self.now_ms)
 
 
-def warm(count, name="large", start=1, domain="d0"):
+def warm_runners(count, name="large", start=1, domain="d0"):
     return [
         builders.runner(number, domain=domain, staged=(name,))
         for number in range(start, start + count)
     ]
 
 
-def standing(bench, number_of_members=4):
-    joins = ordered(bench.step(), orders.Operation.JOIN)[:number_of_members]
+def open_group(bench, number_of_members=4):
+    joins = orders_of(bench.step(), orders.Operation.JOIN)[:number_of_members]
     for order in joins:
         bench.accept(order, STATE.READY)
-    for order in ordered(bench.step(), orders.Operation.OPEN):
+    for order in orders_of(bench.step(), orders.Operation.OPEN):
         bench.accept(order)
     bench.step(400)
     bench.step()
--- a/tests/gateway/test_consolidation.py
+++ b/tests/gateway/test_consolidation.py
@@ -1,4 +1,4 @@
-"""Tests of giving up slow groups for quick ones."""
+"""Tests of replacing groups across domains by single-domain groups."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 from tests.gateway import builders, planners
 
 STATE = model.MemberState
-ordered = planners.ordered
+orders_of = planners.orders_of
 
 
 def far_group(name, numbers, domains, state=STATE.OPEN):
@@ -23,40 +23,41 @@
     ]
 
 
-def two_slow_groups():
+def two_far_groups():
     halves = ("d0", "d0", "d1", "d1")
     return (far_group("g1",
                       (1, 2, 3, 4), halves) + far_group("g2",
                                                         (5, 6, 7, 8), halves))
 
 
-def finish(bench, close):
-    """Has a head finish its work after a close."""
+def finish_requests(bench, close):
+    """Lets a closed head finish its requests."""
     known = bench.view.known[close.runner]
     place = builders.member(close.group, 0, STATE.READY)
     bench.view.record_order(close.runner, known.orders_begun, place,
                             bench.now_ms)
 
 
-def test_two_slow_groups_become_two_quick_ones():
-    """Both have two members in each of two domains.
+def test_two_groups_across_domains_become_two_single_domain_groups():
+    """Guards against groups across domains that are never replaced.
 
-    Their heads finish what they run, all members leave, and each domain's
-    four make a group of their own: callers get their events in time again.
+    Both groups have two members in each of two domains. Their heads finish
+    their requests, all members leave, and the four of each domain form a group
+    of their own, so that events are in time again.
     """
-    bench = planners.Bench(two_slow_groups())
-    closes = ordered(bench.step(), orders.Operation.CLOSE)
+    bench = planners.Bench(two_far_groups())
+    closes = orders_of(bench.step(), orders.Operation.CLOSE)
     assert {str(each.group) for each in closes} == {"g1:1", "g2:2"}
     for each in closes:
         bench.accept(each)
-    assert not ordered(bench.step(), orders.Operation.LEAVE)
+    assert not orders_of(bench.step(), orders.Operation.LEAVE)
     for each in closes:
-        finish(bench, each)
-    leaves = ordered(bench.step(), orders.Operation.LEAVE)
+        finish_requests(bench, each)
+    leaves = orders_of(bench.step(), orders.Operation.LEAVE)
     assert len(leaves) == 8
     for each in leaves:
         bench.accept(each)
-    joins = ordered(bench.step(), orders.Operation.JOIN)
+    joins = orders_of(bench.step(), orders.Operation.JOIN)
     domains = {}
     for each in joins:
         domain = bench.view.known[each.runner].status.domain
@@ -65,86 +66,91 @@
     assert sorted(map(sorted, domains.values())) == [["d0"], ["d1"]]
 
 
-def test_slow_group_and_spares_become_a_quick_one():
+def test_group_across_domains_and_spares_become_a_single_domain_group():
     runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
-    runners += planners.warm(1, start=5)
+    runners += planners.warm_runners(1, start=5)
     bench = planners.Bench(runners)
     assert [
         str(each.group)
-        for each in ordered(bench.step(), orders.Operation.CLOSE)
+        for each in orders_of(bench.step(), orders.Operation.CLOSE)
     ] == ["g1:1"]
 
 
-def test_two_slow_groups_stay_for_a_single_quick_one():
-    """Three and one of each in two domains: they would make one quick group.
+def test_two_groups_across_domains_are_kept_if_they_would_make_one():
+    """Guards against an interruption that gains too little.
 
-    Nothing serves until the heads have finished and the members joined again;
-    two slow groups do nearly as much as one quick, and do it meanwhile.
+    The groups would make only one single-domain group. Nothing is served until
+    the heads have finished and the members have joined again, and two groups
+    across domains do nearly as much as one in a single domain, without the
+    interruption.
     """
     runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
     runners += far_group("g2", (5, 6, 7, 8), ("d0", "d0", "d2", "d2"))
     bench = planners.Bench(runners)
-    assert not ordered(bench.step(), orders.Operation.CLOSE)
+    assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
 
-def test_slow_group_stays_where_no_quick_one_can_be_made():
+def test_group_across_domains_is_kept_if_it_can_not_be_replaced():
     runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d1", "d1"))
-    bench = planners.Bench(runners + planners.warm(1, start=5))
-    assert not ordered(bench.step(), orders.Operation.CLOSE)
+    bench = planners.Bench(runners + planners.warm_runners(1, start=5))
+    assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
 
-def test_no_slow_group_is_made_of_members_that_come_free():
-    """The first of two groups has ended, the second still finishes.
+def test_freed_members_do_not_form_a_group_across_domains():
+    """Guards against forming the retired group again.
 
-    Two of the first are in each domain: four that could make a slow group
-    again, before the second has given up its own.
+    The first of two groups has ended while the second still finishes its
+    requests. The first has two members in each domain: four runners that could
+    form a group across domains again before the second's members are free.
     """
-    bench = planners.Bench(two_slow_groups())
-    closes = ordered(bench.step(), orders.Operation.CLOSE)
+    bench = planners.Bench(two_far_groups())
+    closes = orders_of(bench.step(), orders.Operation.CLOSE)
     for each in closes:
         bench.accept(each)
-    finish(bench, closes[0])
-    for each in ordered(bench.step(), orders.Operation.LEAVE):
+    finish_requests(bench, closes[0])
+    for each in orders_of(bench.step(), orders.Operation.LEAVE):
         bench.accept(each)
-    assert not ordered(bench.step(), orders.Operation.JOIN)
+    assert not orders_of(bench.step(), orders.Operation.JOIN)
 
 
-def test_head_that_does_not_finish_is_left_in_the_end():
-    bench = planners.Bench(two_slow_groups())
-    for each in ordered(bench.step(), orders.Operation.CLOSE):
+def test_members_leave_a_head_that_does_not_finish_in_time():
+    bench = planners.Bench(two_far_groups())
+    for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
-    assert not ordered(bench.step(5000), orders.Operation.LEAVE)
-    assert len(ordered(bench.step(5000), orders.Operation.LEAVE)) == 8
+    assert not orders_of(bench.step(5000), orders.Operation.LEAVE)
+    assert len(orders_of(bench.step(5000), orders.Operation.LEAVE)) == 8
 
 
-def test_groups_of_another_service_are_not_forgotten():
-    """A node plans for two services in turn; one of them gives groups up.
+def test_retiring_groups_are_kept_when_another_service_is_planned():
+    """Guards against dropping retiring groups when another service is planned.
 
-    Looked for among the other's groups they seemed gone: their members that
-    came free made a slow group again, and the heads were opened again.
+    A node plans for two services in turn, and one of them retires groups.
+    Looked up among the other service's groups they seemed to be gone: freed
+    members formed a group across domains again, and the heads were opened
+    again.
     """
     others = [
         dataclasses.replace(builders.runner(20 + number, domain=f"d{number}"),
                             service="other") for number in range(2)
     ]
-    bench = planners.Bench(two_slow_groups() + others)
-    for each in ordered(bench.step(), orders.Operation.CLOSE):
+    bench = planners.Bench(two_far_groups() + others)
+    for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
     other = dataclasses.replace(bench.service, name="other")
     bench.planner.step(other, bench.scope, bench.now_ms)
     assert not bench.step(3000)
     assert not bench.step(3000)
-    assert len(ordered(bench.step(4000), orders.Operation.LEAVE)) == 8
+    assert len(orders_of(bench.step(4000), orders.Operation.LEAVE)) == 8
 
 
-def test_lost_close_is_sent_again():
-    bench = planners.Bench(two_slow_groups())
-    assert len(ordered(bench.step(), orders.Operation.CLOSE)) == 2
-    assert not ordered(bench.step(), orders.Operation.CLOSE)
-    assert len(ordered(bench.step(2000), orders.Operation.CLOSE)) == 2
+def test_lost_close_is_repeated():
+    bench = planners.Bench(two_far_groups())
+    assert len(orders_of(bench.step(), orders.Operation.CLOSE)) == 2
+    assert not orders_of(bench.step(), orders.Operation.CLOSE)
+    assert len(orders_of(bench.step(2000), orders.Operation.CLOSE)) == 2
 
 
-def test_groups_over_two_data_centres_of_other_planners_are_left():
+def test_groups_of_other_planners_are_left_alone():
     halves = ("d0", "d0", "d1", "d1")
     bench = planners.Bench(
         far_group("g1",
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -1,4 +1,4 @@
-"""Tests of which models need more groups, and what is loaded for them."""
+"""Tests of which models need more groups and what is loaded for them."""
 
 import dataclasses
 
@@ -23,7 +23,7 @@
 
 
 def loads(requests, waiting):
-    """Returns what is at groups: all requests, and those of them that wait."""
+    """Returns group loads from all requests and those of them that wait."""
     return {
         key:
             inflight.GroupLoad(count - waiting.get(key, 0), waiting.get(key, 0))
@@ -32,7 +32,7 @@
 
 
 def bench(waiting, blank=2):
-    """One group of each model, with blank runners in their domain."""
+    """Returns a planner with a group of each model and blank runners."""
     runners = group(LARGE, "large", 1, 4) + group(SMALL, "small", 5, 3)
     runners += [builders.runner(20 + each) for each in range(blank)]
     runners += [builders.runner(30, staged=("small",))]
@@ -44,39 +44,41 @@
     return planners.Bench(runners, scope)
 
 
-def loaded(actions):
+def staged_models(actions):
     return [
-        each.model for each in planners.ordered(actions, orders.Operation.STAGE)
+        each.model
+        for each in planners.orders_of(actions, orders.Operation.STAGE)
     ]
 
 
-def test_blank_runners_load_what_is_nearest_to_a_group():
-    assert loaded(bench({}).step()) == ["small", "small"]
+def test_blank_runners_load_the_model_nearest_to_a_group():
+    assert staged_models(bench({}).step()) == ["small", "small"]
 
 
 def test_blank_runners_load_the_model_whose_requests_wait():
-    """Requests of the larger model wait and will be late; the smaller is idle.
+    """Guards against loading for an idle model while another is overloaded.
 
-    By the fewest missing runners alone the smaller model would get another
-    group, and callers of the larger one would wait for as long as a load
-    takes, again and again.
+    Requests of the large model wait and will be late; the small one is idle.
+    With the fewest missing runners as the only criterion, the small model would
+    get another group, and callers of the large one would wait for the duration
+    of a load, again and again.
     """
-    one = bench({LARGE: 8}, blank=0)
+    planner_bench = bench({LARGE: 8}, blank=0)
     for _ in range(20):
-        one.step(100)
+        planner_bench.step(100)
     late = [builders.runner(20 + each, row_version=2) for each in range(2)]
-    runners = [each.runner for each in one.view.known.values()]
-    one.view.apply_list(runners + late, one.now_ms)
-    assert loaded(one.step()) == ["large", "large"]
+    runners = [each.runner for each in planner_bench.view.known.values()]
+    planner_bench.view.apply_list(runners + late, planner_bench.now_ms)
+    assert staged_models(planner_bench.step()) == ["large", "large"]
 
 
-def spares_of_a_large_domain(waiting):
-    """Four spares of the large model in a domain of forty, one group open."""
+def large_domain_with_spares(waiting):
+    """Returns a domain of forty with one large group and four large spares."""
     runners = group(LARGE, "large", 1, 4)
     runners += [
         builders.runner(20 + each, staged=("large",)) for each in range(4)
     ]
-    # These serve something else, and make the domain large.
+    # These serve the other model and make the domain large.
     runners += [
         builders.runner(100 + number,
                         served="small",
@@ -91,52 +93,57 @@
     return planners.Bench(runners, scope)
 
 
-def joined(one, steps=20):
-    """Returns the joins of so many steps, none of them answered."""
+def join_orders(planner_bench, steps=20):
+    """Returns the joins of that many steps, none of them answered."""
     found = []
     for _ in range(steps):
-        found += planners.ordered(one.step(100), orders.Operation.JOIN)
+        found += planners.orders_of(planner_bench.step(100),
+                                    orders.Operation.JOIN)
     return found
 
 
 def test_spares_are_used_while_requests_wait():
-    """All groups of a model are full; whole groups of it lie idle as spares.
+    """Guards against keeping spares while requests wait.
 
-    Held back for the next death they leave callers waiting who could be served
-    now; in a large domain the survivors of two deaths make a group anyway.
+    All groups of a model are full while its spares would make a whole group.
+    Reserved for the next failure, they leave callers waiting that could be
+    served now; in a large domain the survivors of two failed groups make a
+    group anyway.
     """
-    assert len(joined(spares_of_a_large_domain({LARGE: 8}))) == 4
+    assert len(join_orders(large_domain_with_spares({LARGE: 8}))) == 4
 
 
 def test_spares_are_held_back_while_nothing_waits():
-    assert not joined(spares_of_a_large_domain({}))
+    assert not join_orders(large_domain_with_spares({}))
 
 
-def test_strained_model_gets_no_more_than_its_share():
-    """Its requests wait, and what it needs is being loaded already.
+def test_overloaded_model_gets_no_more_than_its_share():
+    """Guards against loading for one model only.
 
-    Were all loads for it until the first of them is done, the other model
-    would be short when they are.
+    The requests of a model wait, and what it needs is already being loaded. If
+    all loads were for it until the first of them is done, the other model would
+    then lack runners.
     """
-    one = bench({LARGE: 8}, blank=0)
+    planner_bench = bench({LARGE: 8}, blank=0)
     for _ in range(20):
-        one.step(100)
-    known = [each.runner for each in one.view.known.values()]
+        planner_bench.step(100)
+    known = [each.runner for each in planner_bench.view.known.values()]
     blank = [builders.runner(20 + each, row_version=2) for each in range(8)]
-    one.view.apply_list(known + blank, one.now_ms)
+    planner_bench.view.apply_list(known + blank, planner_bench.now_ms)
     staged = []
     for _ in range(10):
-        staged += loaded(one.step(600))
+        staged += staged_models(planner_bench.step(600))
     share = LARGE_SHARE * len(known + blank)
     assert 4 + staged.count("large") <= share + 1
     assert staged.count("small") >= 2
 
 
-def test_two_services_are_seen_side_by_side():
-    """Both are looked at in each step, one right after the other.
+def test_two_services_are_observed_independently():
+    """Guards against a shared observation time of all services.
 
-    With one time for both the second had no time between its looks, and was
-    never found overloaded however long its callers waited.
+    Both services are observed in each step, one right after the other. With one
+    time for both, no time passed between the two observations, and the second
+    service was never found overloaded, however long its callers waited.
     """
     seen = overload.OverloadDetector()
     other = dataclasses.replace(builders.LARGE, name="other")
@@ -149,45 +156,48 @@
     assert seen.is_overloaded("other")
 
 
-def test_a_short_burst_is_no_strain():
-    one = bench({LARGE: 8})
-    assert loaded(one.step(100)) == ["small", "small"]
+def test_a_short_burst_is_no_overload():
+    planner_bench = bench({LARGE: 8})
+    assert staged_models(planner_bench.step(100)) == ["small", "small"]
 
 
-def test_a_model_without_any_group_is_strained():
+def test_a_model_without_any_group_is_overloaded():
     runners = group(SMALL, "small", 5, 3)
-    one = planners.Bench(
+    planner_bench = planners.Bench(
         runners,
         planning.Scope(frozenset({"a"}), 1, False, loads({SMALL: 1}, {})))
     for _ in range(20):
-        one.step(100)
+        planner_bench.step(100)
     blank = [builders.runner(20 + each, row_version=2) for each in range(4)]
-    known = [each.runner for each in one.view.known.values()]
-    one.view.apply_list(known + blank, one.now_ms)
-    assert loaded(one.step()) == ["large"] * 4
+    known = [each.runner for each in planner_bench.view.known.values()]
+    planner_bench.view.apply_list(known + blank, planner_bench.now_ms)
+    assert staged_models(planner_bench.step()) == ["large"] * 4
 
 
-def test_groups_that_cannot_be_reached_are_no_help():
-    """A data centre is cut off: groups of the others stand, out of its reach.
+def test_unreachable_groups_do_not_count():
+    """A data centre is cut off from the groups of the others.
 
-    Its spares, kept for deaths while all groups stood, are what it has.
+    Its own spares, kept for failures while all groups were available, are all
+    that it has.
     """
     far = model.GroupKey("g3", 3)
-    away = [
+    remote_runners = [
         dataclasses.replace(each, data_centre="b")
         for each in group(far, "large", 40, 4)
     ]
-    here = group(SMALL, "small", 5, 3)
-    here += [builders.runner(20 + each, staged=("large",)) for each in range(4)]
-    one = planners.Bench(here + away)
+    local_runners = group(SMALL, "small", 5, 3)
+    local_runners += [
+        builders.runner(20 + each, staged=("large",)) for each in range(4)
+    ]
+    planner_bench = planners.Bench(local_runners + remote_runners)
     for _ in range(20):
-        one.step(100)
-    before = planners.ordered(one.step(), orders.Operation.JOIN)
-    for each in away:
-        one.view.record_no_answer(each.id, one.now_ms)
-    made = [
-        each for _ in range(20)
-        for each in planners.ordered(one.step(100), orders.Operation.JOIN)
+        planner_bench.step(100)
+    before = planners.orders_of(planner_bench.step(), orders.Operation.JOIN)
+    for each in remote_runners:
+        planner_bench.view.record_no_answer(each.id, planner_bench.now_ms)
+    joins = [
+        each for _ in range(20) for each in planners.orders_of(
+            planner_bench.step(100), orders.Operation.JOIN)
     ]
     assert not before
-    assert {each.model for each in made} == {"large"}
+    assert {each.model for each in joins} == {"large"}
--- a/tests/gateway/test_planner_machine.py
+++ b/tests/gateway/test_planner_machine.py
@@ -1,7 +1,8 @@
-"""Two planners that don't know of each other, against a model of runners.
+"""Two planners that are unaware of each other, against a model of runners.
 
-Orders are lost, late and answered late; views are old. Whatever happens, no
-request may begin in a group that was never whole, and no runner may be in two.
+Orders are lost, delayed or answered late, and views are outdated. In all cases
+no request may start in a group that was never complete, and no runner may be in
+two groups.
 """
 
 import dataclasses
@@ -18,7 +19,7 @@
 
 @dataclasses.dataclass
 class Runner:
-    """What a runner truly is, whatever planners believe."""
+    """The true state of a runner, as opposed to what planners know of it."""
 
     number: int
     begun: int = 0
@@ -39,7 +40,7 @@
 
 
 class Planners(stateful.RuleBasedStateMachine):
-    """Both plan for the same data centre, each by its own view."""
+    """Both planners plan for the same data centre, each by its own view."""
 
     def __init__(self):
         super().__init__()
@@ -55,18 +56,18 @@
             for number, view in enumerate(self.views)
         ]
         self.ready = set()
-        self.late = []
+        self.delayed = []
         self.read_lists()
 
     def read_lists(self):
         for which in (0, 1):
-            self.take_rows(which)
+            self.read_rows(which)
 
     @stateful.rule(which=strategies.integers(0, 1))
     def read_list(self, which):
-        self.take_rows(which)
+        self.read_rows(which)
 
-    def take_rows(self, which):
+    def read_rows(self, which):
         self.now_ms += 1
         if not self.store_up:
             return
@@ -98,7 +99,7 @@
             if each.place and each.place.state is STATE.JOINING:
                 each.place = dataclasses.replace(each.place, state=STATE.READY)
                 self.ready.add((each.id, each.place.key, each.members))
-                self.changed(each)
+                self.write_row(each)
 
     @stateful.rule(which=strategies.integers(0, 1),
                    fate=strategies.lists(
@@ -118,14 +119,14 @@
             if isinstance(action, planning.Probe):
                 self.report(which, action.runner)
             elif isinstance(action, planning.ReadList):
-                self.take_rows(which)
+                self.read_rows(which)
             elif isinstance(action, orders.Order):
                 self.order(which, action, fate[number % len(fate)])
 
     def order(self, which, order, fate):
         self.planners[which].sent(order.runner)
         if fate == "late":
-            self.late.append(order)
+            self.delayed.append(order)
         status = self.carry_out(order) if fate in ("done", "unanswered") else 0
         view = self.views[which]
         if fate != "done" or status not in (200, 202):
@@ -152,9 +153,9 @@
         self.planners[which].accepted(order, self.now_ms)
 
     @stateful.rule()
-    def late_order_arrives(self):
-        if self.late:
-            self.carry_out(self.late.pop(0))
+    def delayed_order_arrives(self):
+        if self.delayed:
+            self.carry_out(self.delayed.pop(0))
 
     @stateful.rule(which=strategies.integers(0, 1),
                    rounds=strategies.integers(1, 5))
@@ -162,7 +163,7 @@
         for _ in range(rounds):
             self.plan_once(which, ["done"])
             self.pass_time(1500)
-            self.take_rows(which)
+            self.read_rows(which)
             for number in range(COUNT):
                 self.report(which, f"i-{number}")
 
@@ -182,7 +183,7 @@
             runner_id, builders.report(runner.begun, runner.place,
                                        runner.served), self.now_ms, 200.0)
 
-    def changed(self, runner):
+    def write_row(self, runner):
         if self.store_up:
             runner.write()
 
@@ -191,8 +192,9 @@
         is_leave = order.operation is orders.Operation.LEAVE
         if is_leave and (runner.place is None or
                          runner.place.key != order.group):
-            # The state already holds; the pages leave open whether a runner
-            # looks at the count before that.
+            # The runner is not in the group, so nothing changes. The platform's
+            # documentation leaves open whether a runner checks the count before
+            # that.
             return 200
         if order.expected_seq is not None and (order.expected_seq
                                                != runner.begun):
@@ -218,7 +220,7 @@
         runner.members = order.members
         runner.place = builders.member(key, order.members.index(runner.id),
                                        STATE.JOINING)
-        self.changed(runner)
+        self.write_row(runner)
         return 202
 
     def open(self, runner, order):
@@ -232,14 +234,14 @@
         for member in runner.members:
             assert (member, place.key, runner.members) in self.ready, (
                 f"{place.key} opened before {member} was ready")
-        self.changed(runner)
+        self.write_row(runner)
         return 202
 
     def leave(self, runner, order):
         if runner.place is not None and runner.place.key == order.group:
             runner.place = None
             runner.begun += 1
-            self.changed(runner)
+            self.write_row(runner)
         return 200
 
     def stage(self, runner, order):
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Tests of groups that change their model as the work shifts."""
+"""Tests of moving groups between models as the work shifts."""
 
 import dataclasses
 
@@ -6,9 +6,9 @@
 from tests.gateway import builders, planners
 
 STATE = model.MemberState
-ordered = planners.ordered
-LARGES = [model.GroupKey(f"l{each}", each) for each in range(1, 4)]
-SMALLS = [model.GroupKey(f"s{each}", each + 10) for each in range(1, 4)]
+orders_of = planners.orders_of
+LARGE_GROUPS = [model.GroupKey(f"l{each}", each) for each in range(1, 4)]
+SMALL_GROUPS = [model.GroupKey(f"s{each}", each + 10) for each in range(1, 4)]
 PLACES = ("a", "b")
 
 
@@ -24,127 +24,129 @@
     ]
 
 
-def runners(larges=3, place="a"):
-    """Groups of four for the large model, and three of three for the small."""
+def runners(large_groups=3, place="a"):
+    """Returns runners of some large groups and three small ones."""
     found = []
-    for number, key in enumerate(LARGES[:larges]):
+    for number, key in enumerate(LARGE_GROUPS[:large_groups]):
         found += group(key, "large", 1 + 10 * number, 4, place=place)
-    for number, key in enumerate(SMALLS):
+    for number, key in enumerate(SMALL_GROUPS):
         found += group(key, "small", 41 + 10 * number, 3, place=place)
     return found
 
 
 def scope(large, small, place="a"):
-    """Says how many requests are at each group of a model."""
-    loads = {key: inflight.GroupLoad(large) for key in LARGES}
-    loads |= {key: inflight.GroupLoad(small) for key in SMALLS}
-    loads[LARGES[1]] = inflight.GroupLoad(max(0, large - 1))
+    """Returns a scope with this many requests at each group of a model."""
+    loads = {key: inflight.GroupLoad(large) for key in LARGE_GROUPS}
+    loads |= {key: inflight.GroupLoad(small) for key in SMALL_GROUPS}
+    loads[LARGE_GROUPS[1]] = inflight.GroupLoad(max(0, large - 1))
     return planning.Scope(frozenset({place}), 2, False, loads, PLACES)
 
 
 def bench(large, small, **changes):
-    """A planner that has seen these loads for some seconds."""
-    made = planners.Bench(runners(**changes), scope(large, small))
+    """Returns a planner that has observed these loads for some seconds."""
+    planner_bench = planners.Bench(runners(**changes), scope(large, small))
     for _ in range(2):
-        made.step(1000.0)
-    return made
+        planner_bench.step(1000.0)
+    return planner_bench
 
 
-def stage_all(made):
-    """Has hosts load as they are told until a group is closed."""
+def stage_until_closed(planner_bench):
+    """Carries out all load orders until a group is closed."""
     told = []
     for _ in range(20):
-        for order in ordered(made.step(500.0), orders.Operation.STAGE):
-            made.accept(order)
-            known = made.view.known[order.runner]
+        for order in orders_of(planner_bench.step(500.0),
+                               orders.Operation.STAGE):
+            planner_bench.accept(order)
+            known = planner_bench.view.known[order.runner]
             known.status = dataclasses.replace(known.status,
                                                staged=(order.model,))
             told.append(order.runner)
-        if ordered_closes(made):
+        if closes_of(planner_bench):
             break
     return told
 
 
-def ordered_closes(made):
-    made.closes = ordered(made.step(100.0), orders.Operation.CLOSE)
-    return made.closes
+def closes_of(planner_bench):
+    planner_bench.closes = orders_of(planner_bench.step(100.0),
+                                     orders.Operation.CLOSE)
+    return planner_bench.closes
 
 
-def test_emptiest_group_of_the_idle_model_changes_to_the_busy_one():
-    """The declared shares were right for other work.
+def test_least_loaded_group_of_the_idle_model_moves_to_the_busy_one():
+    """Guards against shares that no longer match the work.
 
-    Groups of the small model are nearly full and a death makes all its callers
-    late, while those of the large one stand nearly empty.
+    The groups of the small model are nearly full, and one failure makes all its
+    callers late, while those of the large model are nearly idle.
     """
-    made = bench(large=1, small=12)
-    told = stage_all(made)
+    planner_bench = bench(large=1, small=12)
+    told = stage_until_closed(planner_bench)
     assert sorted(told) == ["i-11", "i-12", "i-13", "i-14"]
-    assert [each.group for each in made.closes] == [LARGES[1]]
-    made.accept(made.closes[0])
-    known = made.view.known[made.closes[0].runner]
-    made.view.record_order(known.runner.id, known.orders_begun,
-                           builders.member(LARGES[1], 0, STATE.READY),
-                           made.now_ms)
-    actions = made.step()
-    leaves = ordered(actions, orders.Operation.LEAVE)
+    assert [each.group for each in planner_bench.closes] == [LARGE_GROUPS[1]]
+    planner_bench.accept(planner_bench.closes[0])
+    known = planner_bench.view.known[planner_bench.closes[0].runner]
+    planner_bench.view.record_order(
+        known.runner.id, known.orders_begun,
+        builders.member(LARGE_GROUPS[1], 0, STATE.READY), planner_bench.now_ms)
+    actions = planner_bench.step()
+    leaves = orders_of(actions, orders.Operation.LEAVE)
     assert len(leaves) == 4
     for each in leaves:
-        made.accept(each)
-    joins = ordered(made.step(), orders.Operation.JOIN)
+        planner_bench.accept(each)
+    joins = orders_of(planner_bench.step(), orders.Operation.JOIN)
     assert {each.model for each in joins} == {"small"}
     assert {each.runner for each in joins} < set(told)
 
 
-def test_load_that_was_refused_is_ordered_again():
-    made = bench(large=1, small=12)
-    first = ordered(made.step(1000.0), orders.Operation.STAGE)[0]
-    made.planner.sent(first.runner)
-    made.planner.refused(first, "busy", made.now_ms)
-    made.planner.rechecked(first)
+def test_refused_load_is_retried():
+    planner_bench = bench(large=1, small=12)
+    first = orders_of(planner_bench.step(1000.0), orders.Operation.STAGE)[0]
+    planner_bench.planner.sent(first.runner)
+    planner_bench.planner.refused(first, "busy", planner_bench.now_ms)
+    planner_bench.planner.rechecked(first)
     again = [
         each.runner
         for _ in range(6)
-        for each in ordered(made.step(500.0), orders.Operation.STAGE)
+        for each in orders_of(planner_bench.step(500.0), orders.Operation.STAGE)
     ]
     assert first.runner in again
 
 
 def test_group_serves_until_all_its_members_hold_the_other_model():
-    made = bench(large=1, small=12)
-    actions = [each for _ in range(10) for each in made.step(500.0)]
-    assert not ordered(actions, orders.Operation.CLOSE)
-    assert not ordered(actions, orders.Operation.LEAVE)
+    planner_bench = bench(large=1, small=12)
+    actions = [each for _ in range(10) for each in planner_bench.step(500.0)]
+    assert not orders_of(actions, orders.Operation.CLOSE)
+    assert not orders_of(actions, orders.Operation.LEAVE)
 
 
-def test_nothing_changes_where_groups_are_as_full():
-    assert not stage_all(bench(large=6, small=8))
+def test_nothing_changes_if_groups_are_equally_utilised():
+    assert not stage_until_closed(bench(large=6, small=8))
 
 
 def test_nothing_changes_while_the_busy_model_has_room():
-    assert not stage_all(bench(large=0, small=3))
+    assert not stage_until_closed(bench(large=0, small=3))
 
 
 def test_last_group_of_a_data_centre_stays():
-    assert not stage_all(bench(large=1, small=12, larges=1))
+    assert not stage_until_closed(bench(large=1, small=12, large_groups=1))
 
 
-def test_declared_shares_count_until_requests_were_seen_for_a_while():
-    made = planners.Bench(runners(), scope(1, 12))
-    assert not ordered(made.step(), orders.Operation.STAGE)
+def test_declared_shares_count_until_enough_requests_were_observed():
+    planner_bench = planners.Bench(runners(), scope(1, 12))
+    assert not orders_of(planner_bench.step(), orders.Operation.STAGE)
 
 
 def test_group_that_loses_a_member_meanwhile_is_not_closed():
-    made = bench(large=1, small=12)
-    for order in ordered(made.step(500.0), orders.Operation.STAGE):
-        made.accept(order)
-    made.view.record_no_answer("i-12", made.now_ms)
-    made.step(100.0)
-    made.now_ms += 100.0
-    assert not ordered_closes(made)
+    planner_bench = bench(large=1, small=12)
+    for order in orders_of(planner_bench.step(500.0), orders.Operation.STAGE):
+        planner_bench.accept(order)
+    planner_bench.view.record_no_answer("i-12", planner_bench.now_ms)
+    planner_bench.step(100.0)
+    planner_bench.now_ms += 100.0
+    assert not closes_of(planner_bench)
 
 
-def two_places(place):
-    """A planner of one of two data centres that are alike, each six groups."""
+def two_data_centres(place):
+    """Returns a planner of one of two equal data centres of six groups."""
     found, loads = [], {}
     for index, where in enumerate(PLACES):
         for number in range(6):
@@ -156,17 +158,17 @@
                            size,
                            place=where)
             loads[key] = inflight.GroupLoad(count)
-    made = planners.Bench(
+    planner_bench = planners.Bench(
         found, planning.Scope(frozenset({place}), 2, False, loads, PLACES))
     for _ in range(2):
-        made.step(1000.0)
-    return made
+        planner_bench.step(1000.0)
+    return planner_bench
 
 
 def test_data_centres_do_not_all_move_a_group_for_the_same_need():
-    """Planners of all of them see the same loads at the same time."""
-    assert stage_all(two_places("a"))
-    assert not stage_all(two_places("b"))
+    """The planners of all data centres see the same loads at the same time."""
+    assert stage_until_closed(two_data_centres("a"))
+    assert not stage_until_closed(two_data_centres("b"))
 
 
 def test_shares_follow_the_work_but_not_below_half_of_what_is_declared():
@@ -186,7 +188,7 @@
     assert shares["small"] > builders.SMALL.share
 
 
-def test_model_that_lost_all_its_groups_keeps_what_was_seen_of_it():
+def test_model_that_lost_all_its_groups_keeps_its_average():
     seen = demand.DemandEstimator()
     engine = builders.engine()
     view = builders.view(*runners())
@@ -194,7 +196,9 @@
         seen.observe("llm", engine, view.groups("llm"), scope(4, 4),
                      1000.0 * second)
     only_small = {
-        key: each for key, each in view.groups("llm").items() if key in SMALLS
+        key: each
+        for key, each in view.groups("llm").items()
+        if key in SMALL_GROUPS
     }
     for second in range(6, 20):
         seen.observe("llm", engine, only_small, scope(4, 4), 1000.0 * second)
@@ -207,14 +211,14 @@
         for each in builders.engine().models)
 
 
-def test_groups_are_formed_where_no_shares_are_declared():
+def test_groups_are_formed_if_no_shares_are_declared():
     blank = [builders.runner(number) for number in range(1, 10)]
-    made = planners.Bench(blank, planners.LEAD)
-    made.service = builders.service(models=undeclared())
-    assert ordered(made.step(), orders.Operation.JOIN)
+    planner_bench = planners.Bench(blank, planners.BEFORE_TRAFFIC)
+    planner_bench.service = builders.service(models=undeclared())
+    assert orders_of(planner_bench.step(), orders.Operation.JOIN)
 
 
-def test_shares_are_those_of_the_work_where_none_are_declared():
+def test_shares_follow_the_work_if_none_are_declared():
     seen = demand.DemandEstimator()
     engine = builders.engine(models=undeclared())
     groups = builders.view(*runners()).groups("llm")
