--- a/cardamommill/gateway/allocation.py
+++ b/cardamommill/gateway/allocation.py
@@ -18,7 +18,8 @@
 # then gets a further group across domains, even of spares.
 BUSY_THRESHOLD = 0.6
 # Ratio of a domain's runners that is kept as spares when groups are first
-# formed: two runners of nine replace one lost member in each of two groups.
+# formed. A domain of nine runners then has two groups and two spares, which can
+# replace one lost member in each group.
 SPARE_RATIO = 0.15
 # Used for models without a declared share, to avoid division by zero.
 MIN_SHARE = 1e-6
@@ -39,13 +40,14 @@
         Args:
             view: The known state of all runners.
             active_formations: Groups that are being formed; new ones are added.
-            pending: Runners with an order in flight.
+            pending: Runners that get no order now: one is in flight, or was
+                refused and they were not probed since.
             overload_detector: Tells which models are overloaded.
             staged: The spares and the models that they hold.
             consolidator: Replaces groups across domains by single-domain
                 groups.
             rebalancer: Moves groups to another model.
-            demand_estimator: Tells how the work divides between models.
+            demand_estimator: Estimates how many requests each model gets.
         """
         self._view = view
         self._formations = active_formations
@@ -228,8 +230,8 @@
         # The model with the fewest runners for its share of the work comes
         # first, within the domain and then overall. Once demand is known, a
         # model that would exceed its share with a further group comes last:
-        # otherwise the members of a group that was closed for another model
-        # would form the same one again.
+        # otherwise, after a group was closed to give its members to another
+        # model, they would form a group of the old model again.
         ids = {each.runner.id for each in runners}
         local_counts: dict[str, int] = {}
         total_counts: dict[str, int] = {}
@@ -256,9 +258,10 @@
     def _members_by_model(self, service: str) -> Iterator[tuple[str, set[str]]]:
         """Yields the model and the member ids of each group, open or forming.
 
-        A joining runner does not report its model. Counted by reports alone,
-        groups that had just started belonged to no model, and two groups of the
-        same model were started in a domain that should have had one of each.
+        Formations are included since a joining runner does not report its
+        model. When only reports were counted, a group that had just started
+        counted for no model, and two groups of the same model were started in a
+        domain that should have had one of each.
         """
         for formation in self._formations.by_key.values():
             yield formation.model.name, set(formation.members)
@@ -282,9 +285,9 @@
             not self.is_free(each) and each.is_usable for each in runners)
         if has_group and not any(each.last_model for each in picked):
             reserve = round(SPARE_RATIO * len(runners))
-            # While requests wait, serving them is worth more than spares, and
-            # in a large domain the survivors of two failed groups make a group
-            # without any spares.
+            # While requests wait, serving them is worth more than spares. A
+            # large domain also depends less on spares: the survivors of two
+            # failed groups can form a group without any.
             if (not self._overload.is_overloaded(served.name) and
                     len(free) - served.size < reserve):
                 return None
--- a/cardamommill/gateway/consolidation.py
+++ b/cardamommill/gateway/consolidation.py
@@ -18,9 +18,9 @@
 # After this a retired group is no longer tracked, so another planner may adopt
 # it.
 RETIRING_EXPIRY_MS = 2 * CLOSE_TIMEOUT_MS
-# Minimum gain, in single-domain groups: nothing is served for about 3 s
-# meanwhile, and two groups across domains do four fifths of the work of one in
-# a single domain.
+# Minimum gain, in single-domain groups. A smaller one is not worth the
+# interruption: the retired groups serve nothing for about 3 s, and two groups
+# across domains do four fifths of the work of one in a single domain.
 MIN_GAIN = 0.5
 # A close that may have been lost is repeated after this.
 CLOSE_RETRY_MS = 1500.0
@@ -51,8 +51,8 @@
 
     A group of survivors from two domains takes about 2.5 times as long for
     everything. Without consolidation such groups stayed for good: after a
-    period of high load all groups of the larger model spanned domains, and
-    their first events came too late for most callers.
+    period of high load all groups of the larger model spanned domains, and the
+    first events of their streams came too late for most callers.
     """
 
     def __init__(self, active_formations: formations.Formations) -> None:
@@ -69,7 +69,7 @@
         """Closes a group; its members leave once it has drained."""
         self._retiring[group.key] = _RetiringGroup(service, group.model, now_ms,
                                                    now_ms)
-        yield _close(group, reason)
+        yield _close_order(group, reason)
 
     def is_retiring(self, key: model.GroupKey) -> bool:
         """Whether a group is being retired."""
@@ -123,7 +123,7 @@
             is_closing = state is model.MemberState.CLOSING
             if not is_closing and now_ms - retiring.sent_ms > CLOSE_RETRY_MS:
                 retiring.sent_ms = now_ms
-                yield _close(group, "previous close not confirmed")
+                yield _close_order(group, "previous close not confirmed")
             return
         yield from self._formations.leave(group.key,
                                           list(group.members.values()),
@@ -151,7 +151,7 @@
             yield from self.retire(service, group, RETIRE_REASON, now_ms)
 
 
-def _close(group: fleetview.Group, reason: str) -> orders.Order:
+def _close_order(group: fleetview.Group, reason: str) -> orders.Order:
     head = group.head
     assert head is not None
     return orders.Order(head.runner.id,
@@ -168,7 +168,12 @@
 def _groups_to_retire(spanning: list[fleetview.Group],
                       warm: "collections.Counter[str]", size: int,
                       far_factor: float) -> list[fleetview.Group]:
-    """Returns the fewest groups to retire for a sufficient gain.
+    """Returns groups to retire, or none if that would gain too little.
+
+    The gain is the number of single-domain groups that could be formed in
+    addition, less the work of the retired groups. For each domain in turn,
+    groups are added, those with the most members in it first, until the gain is
+    sufficient.
 
     Args:
         spanning: Groups across domains.
--- a/cardamommill/gateway/demand.py
+++ b/cardamommill/gateway/demand.py
@@ -76,7 +76,8 @@
                now_ms: float) -> model.Engine:
         """Returns the engine with model shares that follow the observed work.
 
-        By these shares the slots of all models are equally full.
+        If the runners are divided by these shares, the slots of all models are
+        equally full.
 
         Args:
             service: The name of the service.
@@ -102,7 +103,10 @@
 
 def _with_shares(models: tuple[model.ServedModel, ...],
                  observed: dict[str, float]) -> tuple[model.ServedModel, ...]:
-    """Returns models with the observed shares, each raised to its minimum."""
+    """Returns models with the observed shares, each raised to its minimum.
+
+    The other shares are scaled down so that the sum stays the same.
+    """
     minimum = {each.name: MIN_SHARE_RATIO * each.share for each in models}
     raised = {name: observed[name] < minimum[name] for name in minimum}
     kept = sum(minimum[name] for name in minimum if raised[name])
--- a/cardamommill/gateway/formations.py
+++ b/cardamommill/gateway/formations.py
@@ -37,7 +37,8 @@
         Args:
             view: The known state of all runners.
             name: Prefix of all group names.
-            pending: Runners with an order in flight.
+            pending: Runners that get no order now: one is in flight, or was
+                refused and they were not probed since.
             load_limiter: Records the loads that are started.
         """
         self._view = view
@@ -108,12 +109,15 @@
                                expected_seq=head.orders_begun,
                                reason="all members ready")
         elif formation.open_accepted_ms:
-            # The head serves this long after it accepted; if it does not yet,
-            # it refuses requests as not run.
+            # The head serves this long after it accepted. If it is not ready
+            # even so, no harm is done: it refuses requests without running
+            # them.
             if now_ms >= formation.open_accepted_ms + engine.form_ms + 10:
                 self._view.record_open_group(head.runner.id, formation.key,
                                              formation.model.name)
         elif head.runner.id not in self._pending:
+            # The order was not accepted and the head was probed since, so the
+            # order is sent again in the next step.
             formation.open_sent_ms = 0.0
             yield planning.ReadList()
 
@@ -263,12 +267,13 @@
             membership = known.membership
             if membership is None or membership.key != key:
                 continue
-            # A runner that is already in another group has nothing to leave and
-            # answers as if it had left, without counting the order. Such
-            # answers were counted as orders: two of them made up for two orders
-            # of another planner, and the next join, with a count that now
-            # matched, took the runner out of an open group. So the order
-            # carries the count, if it is known.
+            # The order carries the order count, if it is known. Without it, a
+            # runner that another planner has moved to another group has nothing
+            # to leave and answers as if it had left. The runner does not count
+            # this order, but this node did: after two such answers its count
+            # included as many orders as the other planner had sent, and its
+            # next join took the runner out of an open group. With the count,
+            # the runner can refuse the order.
             count = known.orders_begun if known.has_exact_order_count else None
             yield orders.Order(known.runner.id,
                                orders.Operation.LEAVE,
--- a/cardamommill/gateway/groupcontroller.py
+++ b/cardamommill/gateway/groupcontroller.py
@@ -134,7 +134,8 @@
                       reply=reply.value,
                       detail="" if accepted else detail))
         if not accepted:
-            # A report shows the state of some time ago.
+            # Reports lag behind: an earlier one might show the state before
+            # the order.
             await asyncio.sleep((self._report_lag_ms + LAG_MARGIN_MS) / 1000)
             await self.probe(order.runner, "order not accepted")
             self.planner.rechecked(order)
@@ -166,9 +167,9 @@
         """Asks a runner for its report; returns whether it answered.
 
         If there is no answer soon, a second request is sent on another
-        connection while the first is still open. A lost packet looks like a
-        dead runner, and when the second request waited for the first to fail,
-        dead runners were detected only after 300 ms.
+        connection without waiting for the first to fail. A second request is
+        needed since a lost packet looks like a dead runner. When it waited for
+        the first to fail, dead runners were detected only after 300 ms.
         """
         known = self._view.known.get(runner_id)
         if known is None:
@@ -193,8 +194,9 @@
         done, _ = await asyncio.wait([first], timeout=HEDGE_DELAY_MS / 1000)
         if done and first.result() is not None:
             return first.result()
-        # A request on a reused connection that the runner has closed fails at
-        # once.
+        # The second request is also sent if the first has failed: a request on
+        # a reused connection that the runner has closed fails at once, although
+        # the runner is alive.
         second = asyncio.ensure_future(self._request_report(runner))
         try:
             for each in asyncio.as_completed([first, second]):
--- a/cardamommill/gateway/loads.py
+++ b/cardamommill/gateway/loads.py
@@ -3,10 +3,11 @@
 from cardamommill.gateway import model, planning
 
 # Ratio of the permitted load rate that all planners use together. A planner
-# that takes over does not know which loads its predecessor started: at little
-# more than half of the rate, even two planners per data centre within one
-# window stay within the limit.
+# that takes over does not know which loads its predecessor started. At little
+# more than half of the rate, two planners per data centre within one window
+# exceed the permitted rate by a tenth at most.
 LOAD_SHARE = 0.55
+# The started loads of this time are compared with the limit.
 LOAD_WINDOW_MS = 5000.0
 
 
--- a/cardamommill/gateway/orders.py
+++ b/cardamommill/gateway/orders.py
@@ -7,7 +7,16 @@
 
 
 class Operation(enum.Enum):
-    """The operation that a runner is ordered to carry out."""
+    """The operation that a runner is ordered to carry out.
+
+    Attributes:
+        JOIN: Joins a group as one of its members.
+        OPEN: Starts to take requests, as the head of a group.
+        CLOSE: Takes no further requests and finishes those that it has, as the
+            head of a group.
+        LEAVE: Leaves its group.
+        STAGE: Loads a model from the weight store onto the host.
+    """
 
     JOIN = "join"
     OPEN = "open"
@@ -23,13 +32,13 @@
     Attributes:
         runner: The runner's id.
         operation: The operation to carry out.
-        group: The formation; none for `STAGE`.
+        group: The group; none for `STAGE`.
         model: The model, for `JOIN` and `STAGE`.
         members: Ids of all members in order of rank, for `JOIN`.
-        expected_seq: The order count that the runner must have; it refuses the
-            order if it has started another one meanwhile. So conflicting orders
-            of two planners, or an order that arrives seconds late, have no
-            effect.
+        expected_seq: The order count that the runner must have, which is the
+            number of orders that it has started. It refuses the order if it has
+            started another one meanwhile. So conflicting orders of two
+            planners, or an order that arrives seconds late, have no effect.
         reason: For the log.
     """
 
--- a/cardamommill/gateway/overload.py
+++ b/cardamommill/gateway/overload.py
@@ -5,10 +5,10 @@
 from cardamommill.gateway import fleetview, model, planning
 
 # A model is overloaded if more than this ratio of its requests waits and will
-# be late. While all groups were available, no request waited like that.
+# be late. While all groups were available, no request was in this state.
 OVERLOAD_THRESHOLD = 0.1
-# Time constant of the moving average of that ratio: a load takes 16 s and is
-# not worth starting for a burst that ends within one.
+# Time constant of the moving average of that ratio. Loading a model takes 16 s
+# and is not worth starting for a burst that is over before the load is.
 AVERAGING_WINDOW_MS = 2000.0
 
 
@@ -62,6 +62,9 @@
                 scope: planning.Scope, now_ms: float) -> None:
         """Updates the ratios with the current load of the groups.
 
+        All requests of a model without a group that this node can reach count
+        as late.
+
         Args:
             service: The name of the service.
             engine: The engine of the service.
@@ -71,14 +74,14 @@
         """
         if scope.is_before_traffic:
             return
-        # Only groups that this node can reach are counted, since others take no
-        # requests from here. When all were, a data centre that was cut off had
-        # one group and left spares for two more unused until the end of the
-        # partition.
         since_ms = now_ms - self._observed_ms.get(service, now_ms)
         self._observed_ms[service] = now_ms
         weight = min(1.0, since_ms / AVERAGING_WINDOW_MS)
         for served in engine.models:
+            # Only groups that this node can reach are counted, since others
+            # take no requests from here. When unreachable groups were counted
+            # too, a data centre that was cut off had one group and left spares
+            # for two more unused until the end of the partition.
             serving = fleetview.serving(groups.values(), served.name)
             load = scope.total_load(serving)
             ratio = load.deferred / max(1,
--- a/cardamommill/gateway/planner.py
+++ b/cardamommill/gateway/planner.py
@@ -1,8 +1,9 @@
 """Plans the groups of the data centres that this node is responsible for.
 
 Two planners may act at the same time, for example during a network partition or
-while a node is wrongly believed dead. Each join carries the order count that
-its runner must have, so the runner refuses the second join, and group names are
+while a node is wrongly believed dead. A runner counts the orders that it has
+started, and each join carries the count that its runner must have. So if two
+planners order a runner to join, it refuses the second join. Group names are
 never reused. No lease is needed.
 """
 
@@ -29,8 +30,8 @@
 class Planner:
     """Decides which orders to send.
 
-    It does no input or output; its only state is what it remembers of the
-    groups and loads that it started.
+    It does no input or output. Its state is in memory only: the groups and
+    model loads that it has started, probe times and averages of the load.
     """
 
     def __init__(self, view: fleetview.FleetView, name: str) -> None:
@@ -43,6 +44,8 @@
                 names.
         """
         self._view = view
+        # Runners with an order in flight, and those that refused one and were
+        # not probed since.
         self._pending: set[str] = set()
         load_limiter = loads.LoadRateLimiter()
         self._formations = formations.Formations(view, name, self._pending,
@@ -109,8 +112,8 @@
                 may_retry: bool = False) -> None:
         """Records that an order was refused or its outcome is unknown.
 
-        The runner gets no other order until `rechecked`: its known state is
-        wrong, and its report shows the true state only after a delay.
+        The runner gets no other order until `rechecked`: its known state may
+        be wrong, and its report shows the true state only after a delay.
 
         Args:
             order: The order.
@@ -144,9 +147,10 @@
         actions: Iterable[planning.Action]) -> Iterator[planning.Action]:
     """Yields actions, keeping only the first order to each runner.
 
-    A formation that is given up may be found again in the same step, as one
-    that another planner never completed. Each order carries the order count
-    before it, so a second one would be refused.
+    One step may order a runner to leave its group twice: when a formation is
+    given up, and again when reconciliation finds the group, which now seems to
+    be an incomplete one of another planner. Both orders carry the same order
+    count, so the runner would refuse the second.
     """
     ordered = set()
     for action in actions:
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -28,7 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupOpened:
-    """Announces to all nodes that a group is open."""
+    """Announces to all nodes that a group is open.
+
+    `took_ms` is the time since its formation was started or adopted.
+    """
 
     key: model.GroupKey
     service: str
@@ -53,8 +56,8 @@
         due_ms: When all members should be ready.
         loads: How many members load the model from the weight store.
         next_check_ms: The earliest time of the next readiness check.
-        open_sent_ms: When the head was last ordered to open; 0 if it has to be
-            ordered.
+        open_sent_ms: When the head was last ordered to open; 0 if that order
+            has to be sent, or sent again.
         open_accepted_ms: When the head accepted that; 0 before.
         open_attempts: How often the head was ordered to open.
         refused: Why a join was refused for good; empty if none was.
@@ -84,10 +87,10 @@
     Attributes:
         data_centres: Those whose runners get orders from this planner.
         count: The number of all data centres; they share the load limits.
-        is_before_traffic: Whether no request has arrived yet; model loads take
-            less time then.
-        loads: Requests of all nodes, by group.
-        places: The names of all data centres.
+        is_before_traffic: Whether no request has arrived yet; loading a model
+            takes less time then.
+        loads: The requests of all nodes at each group.
+        places: The names of all data centres, whoever plans for them.
     """
 
     data_centres: frozenset[str]
--- a/cardamommill/gateway/rebalancing.py
+++ b/cardamommill/gateway/rebalancing.py
@@ -16,12 +16,13 @@
 )
 
 # A model whose slot utilisation is below this needs no more groups.
-BUSY_THRESHOLD = 0.3
+MIN_BUSY_UTILISATION = 0.3
 # After a move, the utilisation of the idle model times this must not exceed
 # that of the busy model.
 UTILISATION_MARGIN = 1.25
 # Time between two moves, so that the effect of one shows before the next.
 COOLDOWN_MS = 4000.0
+# Time from the refusal of a load order until it is repeated.
 REFUSAL_BACKOFF_MS = 2000.0
 # A load order is repeated after this many times the usual load time.
 RETRY_FACTOR = 3.0
@@ -62,11 +63,12 @@
 
 
 class Rebalancing:
-    """Decides which groups change their model, one move per data centre.
+    """Decides which groups change their model.
 
-    The members load the other model while they still serve. Only when all of
-    them hold it the group is closed and finishes its requests, and new groups
-    are formed of its members, which takes a second or two.
+    There is at most one move at a time in each data centre. The members load
+    the other model while they still serve. The group is closed only when all of
+    them hold it. It then finishes its requests, and new groups are formed of
+    its members, which takes a second or two.
     """
 
     def __init__(self, demand_estimator: demand.DemandEstimator,
@@ -75,7 +77,7 @@
         """Creates a rebalancing.
 
         Args:
-            demand_estimator: Tells how the work divides between models.
+            demand_estimator: Estimates how many requests each model gets.
             load_limiter: Limits and records loads.
             consolidator: Closes groups and has their members leave.
         """
@@ -180,7 +182,7 @@
 
         ranked = sorted(engine.models, key=utilisation)
         idle, busy = ranked[0], ranked[-1]
-        if utilisation(busy) < BUSY_THRESHOLD or idle is busy or (
+        if utilisation(busy) < MIN_BUSY_UTILISATION or idle is busy or (
                 not open_groups[busy.name]):
             return None
         given = math.ceil(busy.size / idle.size)
--- a/cardamommill/gateway/reconciliation.py
+++ b/cardamommill/gateway/reconciliation.py
@@ -25,8 +25,9 @@
 RECOVERY_RETRY_MS = 200.0
 # Interval between probes of a runner whose order count is not known.
 COUNT_RETRY_MS = 300.0
-# Interval between probes of a member that nothing else observes. One that is no
-# longer listed may only have lost its connection to the store.
+# Interval between probes of a member that left the list, or that neither a
+# current list nor a request observes. One that left the list may have lost only
+# its connection to the store.
 ABSENT_RETRY_MS = 1500.0
 
 
@@ -42,13 +43,15 @@
             view: The known state of all runners.
             active_formations: Groups that are being formed, which are left
                 alone; also creates the orders to leave.
-            consolidator: Ends the groups that it retires itself.
+            consolidator: Knows the groups that are being retired; it ends
+                these, so they are left alone here.
         """
         self._view = view
         self._formations = active_formations
         self._consolidation = consolidator
         self._probed_ms: dict[str, float] = {}
-        self._first_seen_ms: dict[model.GroupKey, float] = {}
+        # Since when each group is known to be incomplete or not open.
+        self._unfinished_since_ms: dict[model.GroupKey, float] = {}
 
     def step(self, groups: dict[model.GroupKey, fleetview.Group], service: str,
              engine: model.Engine, scope: planning.Scope,
@@ -92,7 +95,7 @@
                 self._formations.adopt(group, service, served, now_ms)
             return
         if group.is_open:
-            self._first_seen_ms.pop(group.key, None)
+            self._unfinished_since_ms.pop(group.key, None)
             yield from self._probe_unobserved(group, scope, now_ms)
 
     def _end_reason(self, group: fleetview.Group,
@@ -124,24 +127,25 @@
             return ""
         if not self._is_overdue(group.key, now_ms):
             return ""
-        # This node may never have seen a member. An open group serves all the
-        # same while that member answers, so some planner must have seen it
-        # ready.
+        # This node may never have seen one of the members. If the group is
+        # open, some planner must have seen all of them ready, and the group
+        # serves as long as that member answers.
         is_serving = group.is_open and served is not None
         return "a member is missing" if is_serving else "never complete"
 
     def _is_overdue(self, key: model.GroupKey, now_ms: float) -> bool:
-        first_ms = self._first_seen_ms.setdefault(key, now_ms)
-        return now_ms - first_ms > FOREIGN_GRACE_MS
+        since_ms = self._unfinished_since_ms.setdefault(key, now_ms)
+        return now_ms - since_ms > FOREIGN_GRACE_MS
 
     def _probe_unobserved(self, group: fleetview.Group, scope: planning.Scope,
                           now_ms: float) -> Iterator[planning.Action]:
         """Probes members whose death nothing else would reveal.
 
-        While the store is unavailable the list is not updated, and once keys
-        can't be confirmed no stream runs whose silence could be noticed.
-        Without these probes, groups that died in an outage were found and
-        formed again only after it, while callers waited.
+        While the store is unavailable the list is not updated. Once the keys of
+        callers can't be confirmed, no requests are admitted, so no stream runs
+        whose silence could be noticed. Without these probes, groups that died
+        in an outage of the store were found and formed again only after it,
+        while callers waited.
         """
         is_stale = (now_ms - self._view.list_as_of_ms
                     > self._view.list_stale_ms)
--- a/cardamommill/gateway/spares.py
+++ b/cardamommill/gateway/spares.py
@@ -12,8 +12,9 @@
     planning,
 )
 
-# A host that refuses is loading for another planner, or for one that died.
-# Asked every 250 ms, such a host refused twelve times in a row.
+# Time from the refusal of a load order until the next order to that host. A
+# host that refuses is loading for another planner, or for one that died. Asked
+# every 250 ms, such a host refused twelve times in a row.
 REFUSAL_BACKOFF_MS = 2000.0
 
 
@@ -24,6 +25,8 @@
                  load_limiter: loads.LoadRateLimiter) -> None:
         self._view = view
         self._load_limiter = load_limiter
+        # The model that each runner's host was ordered to load, and the time
+        # after which that load counts as overdue.
         self._staging: dict[str, tuple[str, float]] = {}
         self._refused_ms: dict[str, float] = {}
 
@@ -84,14 +87,19 @@
             self, engine: model.Engine, free: list[fleetview.RunnerRecord],
             spare_counts: dict[str, int], capacity_state: overload.CapacityState
     ) -> list[fleetview.RunnerRecord]:
-        """Returns the runners that may load another model, blank ones first.
-
-        A spare may load a busier model that lacks few runners for a group or
-        has no spare here: otherwise the survivors of that model's next failure
-        would wait for a whole load. A spare may also load an overloaded model
-        if enough runners are free for a group but no model has enough of them:
-        it would wait for further runners forever. Otherwise it is worth more as
-        the spare that it is.
+        """Returns the runners that may load another model.
+
+        These are the blank runners, which hold no model. Spares are returned
+        only if no runner is blank and none is loading, and in two cases:
+
+        * A busier model lacks so few runners for a group that spares of other
+          models can make up for them, or it has no spare here. Otherwise the
+          survivors of that model's next failure would wait for a whole load.
+        * A model is overloaded, and enough runners are free for a group, but no
+          model has enough of them. Otherwise the spares would wait for further
+          runners forever.
+
+        In all other cases a spare is worth more with the model that it holds.
         """
         blank = [each for each in free if not self.warm_model(each)]
         sizes = {each.name: each.size for each in engine.models}
@@ -105,10 +113,10 @@
         if blank or any(each.runner.id in self._staging for each in free):
             return blank
         for served in engine.models:
-            lendable = self._lendable_spares(served, free, spare_counts,
-                                             capacity_state)
-            if lendable:
-                return lendable
+            reassignable = self._reassignable_spares(served, free, spare_counts,
+                                                     capacity_state)
+            if reassignable:
+                return reassignable
         if not is_stuck or not urgent:
             return []
         best = max(urgent,
@@ -117,7 +125,7 @@
         others = [each for each in free if self.warm_model(each) != best]
         return others[:missing] if len(others) >= missing else []
 
-    def _lendable_spares(
+    def _reassignable_spares(
             self, served: model.ServedModel, free: list[fleetview.RunnerRecord],
             spare_counts: dict[str, int], capacity_state: overload.CapacityState
     ) -> list[fleetview.RunnerRecord]:
@@ -145,8 +153,8 @@
     def _model_to_load(
             self, engine: model.Engine, spare_counts: dict[str, int], free: int,
             capacity_state: overload.CapacityState) -> model.ServedModel:
-        # Overloaded models come first: with the fewest runners as the only
-        # criterion, the smaller model got most loads of a day while it had
+        # Overloaded models come first: with the fewest missing runners as the
+        # only criterion, the smaller model got most loads of a day while it had
         # eight groups and the larger one four. Next comes the model that lacks
         # the fewest runners for a group, if enough are free, and then the model
         # with the fewest spares for its share.
@@ -161,7 +169,7 @@
         return min(engine.models, key=key)
 
     def warm_model(self, known: fleetview.RunnerRecord) -> str:
-        """Returns the model that a runner can serve without a load, if any."""
+        """Returns the model that a runner holds or loads; empty if none."""
         if known.runner.id in self._staging:
             return self._staging[known.runner.id][0]
         if known.status.staged:
--- a/tests/gateway/planners.py
+++ b/tests/gateway/planners.py
@@ -1,4 +1,4 @@
-"""A planner with simulated runners that carry out orders at once."""
+"""A planner with simulated runners, for the tests of planning."""
 
 from cardamommill.gateway import model, orders, planner, planning
 from tests.gateway import builders
@@ -16,7 +16,11 @@
 
 
 class Bench:
-    """A planner and its view of runners that carry out orders at once."""
+    """A planner and its view of simulated runners.
+
+    A runner carries out an order only when the test calls `accept`, and at once
+    then.
+    """
 
     def __init__(self, runners, scope=SCOPE):
         self.view = builders.view(*runners)
--- a/tests/gateway/test_allocation.py
+++ b/tests/gateway/test_allocation.py
@@ -35,8 +35,8 @@
     """Guards against two groups of the same model in one domain.
 
     Joining runners do not report their model yet. The next group of the domain
-    must serve the other model: with two of the same, the other's callers had
-    half of the groups that they need.
+    must serve the other model: when both served the same one, the other model
+    had half of the groups that its callers need.
     """
     lead = planning.Scope(frozenset({"a"}), 3, True, {})
     bench = planners.Bench([builders.runner(number) for number in range(1, 10)],
--- a/tests/gateway/test_consolidation.py
+++ b/tests/gateway/test_consolidation.py
@@ -9,7 +9,7 @@
 orders_of = planners.orders_of
 
 
-def far_group(name, numbers, domains, state=STATE.OPEN):
+def spanning_group(name, numbers, domains, state=STATE.OPEN):
     key = model.GroupKey(name, int(name[1:]))
     return [
         builders.runner(number,
@@ -23,11 +23,10 @@
     ]
 
 
-def two_far_groups():
+def two_spanning_groups():
     halves = ("d0", "d0", "d1", "d1")
-    return (far_group("g1",
-                      (1, 2, 3, 4), halves) + far_group("g2",
-                                                        (5, 6, 7, 8), halves))
+    return (spanning_group("g1", (1, 2, 3, 4), halves) +
+            spanning_group("g2", (5, 6, 7, 8), halves))
 
 
 def finish_requests(bench, close):
@@ -45,7 +44,7 @@
     their requests, all members leave, and the four of each domain form a group
     of their own, so that events are in time again.
     """
-    bench = planners.Bench(two_far_groups())
+    bench = planners.Bench(two_spanning_groups())
     closes = orders_of(bench.step(), orders.Operation.CLOSE)
     assert {str(each.group) for each in closes} == {"g1:1", "g2:2"}
     for each in closes:
@@ -67,7 +66,7 @@
 
 
 def test_group_across_domains_and_spares_become_a_single_domain_group():
-    runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
+    runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
     runners += planners.warm_runners(1, start=5)
     bench = planners.Bench(runners)
     assert [
@@ -84,14 +83,14 @@
     across domains do nearly as much as one in a single domain, without the
     interruption.
     """
-    runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
-    runners += far_group("g2", (5, 6, 7, 8), ("d0", "d0", "d2", "d2"))
+    runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
+    runners += spanning_group("g2", (5, 6, 7, 8), ("d0", "d0", "d2", "d2"))
     bench = planners.Bench(runners)
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
 
 def test_group_across_domains_is_kept_if_it_can_not_be_replaced():
-    runners = far_group("g1", (1, 2, 3, 4), ("d0", "d0", "d1", "d1"))
+    runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d1", "d1"))
     bench = planners.Bench(runners + planners.warm_runners(1, start=5))
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
@@ -103,7 +102,7 @@
     requests. The first has two members in each domain: four runners that could
     form a group across domains again before the second's members are free.
     """
-    bench = planners.Bench(two_far_groups())
+    bench = planners.Bench(two_spanning_groups())
     closes = orders_of(bench.step(), orders.Operation.CLOSE)
     for each in closes:
         bench.accept(each)
@@ -114,7 +113,7 @@
 
 
 def test_members_leave_a_head_that_does_not_finish_in_time():
-    bench = planners.Bench(two_far_groups())
+    bench = planners.Bench(two_spanning_groups())
     for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
     assert not orders_of(bench.step(5000), orders.Operation.LEAVE)
@@ -124,16 +123,16 @@
 def test_retiring_groups_are_kept_when_another_service_is_planned():
     """Guards against dropping retiring groups when another service is planned.
 
-    A node plans for two services in turn, and one of them retires groups.
-    Looked up among the other service's groups they seemed to be gone: freed
-    members formed a group across domains again, and the heads were opened
-    again.
+    A node plans for two services in turn, and one of them retires groups. When
+    these were looked up among the groups of the other service, they seemed to
+    be gone: freed members formed a group across domains again, and the heads
+    were opened again.
     """
     others = [
         dataclasses.replace(builders.runner(20 + number, domain=f"d{number}"),
                             service="other") for number in range(2)
     ]
-    bench = planners.Bench(two_far_groups() + others)
+    bench = planners.Bench(two_spanning_groups() + others)
     for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
     other = dataclasses.replace(bench.service, name="other")
@@ -144,7 +143,7 @@
 
 
 def test_lost_close_is_repeated():
-    bench = planners.Bench(two_far_groups())
+    bench = planners.Bench(two_spanning_groups())
     assert len(orders_of(bench.step(), orders.Operation.CLOSE)) == 2
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
     assert len(orders_of(bench.step(2000), orders.Operation.CLOSE)) == 2
@@ -153,7 +152,7 @@
 def test_groups_of_other_planners_are_left_alone():
     halves = ("d0", "d0", "d1", "d1")
     bench = planners.Bench(
-        far_group("g1",
-                  (1, 2, 3, 4), halves) + far_group("g2", (5, 6, 7, 8), halves),
+        spanning_group("g1", (1, 2, 3, 4), halves) +
+        spanning_group("g2", (5, 6, 7, 8), halves),
         planning.Scope(frozenset({"b"}), 2, False, {}))
     assert not bench.step()
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -105,10 +105,10 @@
 def test_spares_are_used_while_requests_wait():
     """Guards against keeping spares while requests wait.
 
-    All groups of a model are full while its spares would make a whole group.
-    Reserved for the next failure, they leave callers waiting that could be
-    served now; in a large domain the survivors of two failed groups make a
-    group anyway.
+    All groups of a model are full while its spares would make a whole group. If
+    the spares were reserved for the next failure, callers would wait that could
+    be served now. In a large domain the survivors of two failed groups can form
+    a group without spares.
     """
     assert len(join_orders(large_domain_with_spares({LARGE: 8}))) == 4
 
@@ -145,15 +145,15 @@
     time for both, no time passed between the two observations, and the second
     service was never found overloaded, however long its callers waited.
     """
-    seen = overload.OverloadDetector()
+    detector = overload.OverloadDetector()
     other = dataclasses.replace(builders.LARGE, name="other")
     scope = planning.Scope(frozenset({"a"}), 1, False, {})
     for now_ms in range(0, 2000, 100):
-        seen.observe("first", builders.engine(), {}, scope, now_ms)
-        seen.observe("second", builders.engine(models=(other,)), {}, scope,
-                     now_ms)
-    assert seen.is_overloaded("large")
-    assert seen.is_overloaded("other")
+        detector.observe("first", builders.engine(), {}, scope, now_ms)
+        detector.observe("second", builders.engine(models=(other,)), {}, scope,
+                         now_ms)
+    assert detector.is_overloaded("large")
+    assert detector.is_overloaded("other")
 
 
 def test_a_short_burst_is_no_overload():
@@ -177,8 +177,8 @@
 def test_unreachable_groups_do_not_count():
     """A data centre is cut off from the groups of the others.
 
-    Its own spares, kept for failures while all groups were available, are all
-    that it has.
+    Its spares were kept for failures while all groups were available. Now they
+    have to form a group, since no other group of the model can be reached.
     """
     far = model.GroupKey("g3", 3)
     remote_runners = [
--- a/tests/gateway/test_planner.py
+++ b/tests/gateway/test_planner.py
@@ -60,8 +60,8 @@
 
 def test_refused_join_ends_the_formation_and_blocks_the_runner():
     # The known state of the runner is wrong, and its report shows the true
-    # state only after some hundred ms. Without the wait it was ordered forty
-    # times.
+    # state only after some hundred ms. Without the wait, forty orders were sent
+    # to such a runner.
     bench = planners.Bench(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins[1:]:
@@ -109,7 +109,11 @@
 
 
 def bench_with_unanswered_joins(times):
-    """Returns a bench whose first member left that many joins unanswered."""
+    """Returns a bench whose first member left that many joins unanswered.
+
+    The second value is the join that was sent after these; None if the group
+    was given up.
+    """
     bench = planners.Bench(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins[1:]:
@@ -133,9 +137,9 @@
     """Guards against giving up a group for a single lost order.
 
     While runners leave one order in three unanswered for some seconds, a group
-    of 32 still needs an answer from each. Given up for the first missing one,
-    all its members were ordered to leave, and the following groups failed in
-    the same way.
+    of 32 still needs an answer from each. When it was given up for the first
+    missing answer, all its members were ordered to leave, and the following
+    groups failed in the same way.
     """
     bench, order = bench_with_unanswered_joins(2)
     (formation,) = bench.planner.formations.values()
@@ -171,11 +175,12 @@
 def test_leave_is_ordered_once_and_carries_the_known_order_count():
     """Guards against counting orders to leave that change nothing.
 
-    Two planners are unaware of each other and plan for the same group. One
-    gives up its formation and finds it again in the same step, as one that was
-    never complete. The other has meanwhile formed a new group of the members.
-    When leave orders without effect were counted twice, the count matched the
-    other planner's orders, and the next join took a member out of its open
+    A planner gives up a formation and in the same step finds it again, as what
+    seems to be an incomplete group of another planner, so there are two reasons
+    to order each member to leave. Meanwhile a second planner, unaware of the
+    first, has formed a new group of the members. The orders to leave change
+    nothing, but when the first planner counted both of them, its count matched
+    the second planner's orders, and its next join took a member out of the open
     group.
     """
     bench = planners.Bench(planners.warm_runners(4))
--- a/tests/gateway/test_planner_machine.py
+++ b/tests/gateway/test_planner_machine.py
@@ -14,12 +14,15 @@
 from tests.gateway import builders
 
 STATE = model.MemberState
-COUNT = 6
+RUNNER_COUNT = 6
 
 
 @dataclasses.dataclass
 class Runner:
-    """The true state of a runner, as opposed to what planners know of it."""
+    """The true state of a runner, as opposed to what planners know of it.
+
+    `row` is its row in the list of runners, which the store keeps.
+    """
 
     number: int
     begun: int = 0
@@ -48,7 +51,7 @@
         self.store_up = True
         self.runners = {
             each.id: each
-            for each in (Runner(number) for number in range(COUNT))
+            for each in (Runner(number) for number in range(RUNNER_COUNT))
         }
         self.views = [fleetview.FleetView(), fleetview.FleetView()]
         self.planners = [
@@ -85,6 +88,7 @@
     def store_fails_or_returns(self):
         self.store_up = not self.store_up
         if self.store_up:
+            # Both planners first read rows that date from before the outage.
             self.read_lists()
             for each in self.runners.values():
                 each.write()
@@ -102,15 +106,15 @@
                 self.write_row(each)
 
     @stateful.rule(which=strategies.integers(0, 1),
-                   fate=strategies.lists(
+                   outcomes=strategies.lists(
                        strategies.sampled_from(["done"] * 9 +
                                                ["lost", "unanswered", "late"]),
                        min_size=8,
                        max_size=8))
-    def plan(self, which, fate):
-        self.plan_once(which, fate)
+    def plan(self, which, outcomes):
+        self.plan_once(which, outcomes)
 
-    def plan_once(self, which, fate):
+    def plan_once(self, which, outcomes):
         self.now_ms += 60
         scope = planning.Scope(frozenset({"a"}), 1, False, {})
         actions = self.planners[which].step(builders.service(), scope,
@@ -121,21 +125,22 @@
             elif isinstance(action, planning.ReadList):
                 self.read_rows(which)
             elif isinstance(action, orders.Order):
-                self.order(which, action, fate[number % len(fate)])
+                self.order(which, action, outcomes[number % len(outcomes)])
 
-    def order(self, which, order, fate):
+    def order(self, which, order, outcome):
         self.planners[which].sent(order.runner)
-        if fate == "late":
+        if outcome == "late":
             self.delayed.append(order)
-        status = self.carry_out(order) if fate in ("done", "unanswered") else 0
+        status = self.carry_out(order) if outcome in ("done",
+                                                      "unanswered") else 0
         view = self.views[which]
-        if fate != "done" or status not in (200, 202):
+        if outcome != "done" or status not in (200, 202):
             view.record_order_refusal(order.runner, self.now_ms)
             self.planners[which].refused(order,
                                          "no",
                                          self.now_ms,
                                          may_retry=status in (0, 409) or
-                                         fate == "unanswered")
+                                         outcome == "unanswered")
             self.now_ms += 230
             self.report(which, order.runner)
             self.planners[which].rechecked(order)
@@ -159,22 +164,22 @@
 
     @stateful.rule(which=strategies.integers(0, 1),
                    rounds=strategies.integers(1, 5))
-    def work_undisturbed(self, which, rounds):
+    def plan_without_faults(self, which, rounds):
         for _ in range(rounds):
             self.plan_once(which, ["done"])
             self.pass_time(1500)
             self.read_rows(which)
-            for number in range(COUNT):
+            for number in range(RUNNER_COUNT):
                 self.report(which, f"i-{number}")
 
     @stateful.rule(which=strategies.integers(0, 1),
-                   number=strategies.integers(0, COUNT - 1))
-    def ask(self, which, number):
+                   number=strategies.integers(0, RUNNER_COUNT - 1))
+    def probe(self, which, number):
         self.report(which, f"i-{number}")
 
     @stateful.rule(which=strategies.integers(0, 1),
-                   number=strategies.integers(0, COUNT - 1))
-    def false_alarm(self, which, number):
+                   number=strategies.integers(0, RUNNER_COUNT - 1))
+    def probe_gets_no_answer(self, which, number):
         self.views[which].record_no_answer(f"i-{number}", self.now_ms)
 
     def report(self, which, runner_id):
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -67,6 +67,7 @@
 
 
 def closes_of(planner_bench):
+    """Runs a step; returns its close orders and keeps them as `closes`."""
     planner_bench.closes = orders_of(planner_bench.step(100.0),
                                      orders.Operation.CLOSE)
     return planner_bench.closes
@@ -172,15 +173,15 @@
 
 
 def test_shares_follow_the_work_but_not_below_half_of_what_is_declared():
-    seen = demand.DemandEstimator()
+    estimator = demand.DemandEstimator()
     view = builders.view(*runners())
     engine = builders.engine()
     for second in range(6):
-        seen.observe("llm", engine, view.groups("llm"), scope(0, 12),
-                     1000.0 * second)
+        estimator.observe("llm", engine, view.groups("llm"), scope(0, 12),
+                          1000.0 * second)
     shares = {
         each.name: each.share
-        for each in seen.engine("llm", engine, 6000.0).models
+        for each in estimator.engine("llm", engine, 6000.0).models
     }
     assert shares["large"] < builders.LARGE.share
     assert shares["large"] >= 0.5 * builders.LARGE.share
@@ -189,20 +190,21 @@
 
 
 def test_model_that_lost_all_its_groups_keeps_its_average():
-    seen = demand.DemandEstimator()
+    estimator = demand.DemandEstimator()
     engine = builders.engine()
     view = builders.view(*runners())
     for second in range(6):
-        seen.observe("llm", engine, view.groups("llm"), scope(4, 4),
-                     1000.0 * second)
+        estimator.observe("llm", engine, view.groups("llm"), scope(4, 4),
+                          1000.0 * second)
     only_small = {
         key: each
         for key, each in view.groups("llm").items()
         if key in SMALL_GROUPS
     }
     for second in range(6, 20):
-        seen.observe("llm", engine, only_small, scope(4, 4), 1000.0 * second)
-    assert seen.requests("llm", "large") > 10
+        estimator.observe("llm", engine, only_small, scope(4, 4),
+                          1000.0 * second)
+    assert estimator.requests("llm", "large") > 10
 
 
 def undeclared():
@@ -219,13 +221,13 @@
 
 
 def test_shares_follow_the_work_if_none_are_declared():
-    seen = demand.DemandEstimator()
+    estimator = demand.DemandEstimator()
     engine = builders.engine(models=undeclared())
     groups = builders.view(*runners()).groups("llm")
     for second in range(6):
-        seen.observe("llm", engine, groups, scope(3, 12), 1000.0 * second)
+        estimator.observe("llm", engine, groups, scope(3, 12), 1000.0 * second)
     shares = {
         each.name: each.share
-        for each in seen.engine("llm", engine, 6000.0).models
+        for each in estimator.engine("llm", engine, 6000.0).models
     }
     assert 0 < shares["large"] < shares["small"]
--- a/tests/gateway/test_reconciliation.py
+++ b/tests/gateway/test_reconciliation.py
@@ -30,8 +30,8 @@
     bench = planners.Bench(planners.warm_runners(5))
     joins = planners.open_group(bench)
     gone = joins[2].runner
-    left = [each for each in planners.warm_runners(5) if each.id != gone]
-    bench.view.apply_list(left, bench.now_ms + 10)
+    remaining = [each for each in planners.warm_runners(5) if each.id != gone]
+    bench.view.apply_list(remaining, bench.now_ms + 10)
     actions = bench.step()
     assert not planners.orders_of(actions, orders.Operation.LEAVE)
     assert planning.Probe(gone, "left the list") in actions
@@ -140,8 +140,8 @@
 def test_members_are_probed_if_nothing_else_would_reveal_their_death():
     """Guards against a dead member that stays unnoticed while nothing runs.
 
-    The store is unavailable, so the list is stale and keys are no longer
-    trusted. No request runs at any group whose silence could be noticed. A
+    The store is unavailable, so the list is stale, and the keys of callers are
+    no longer trusted, so no request runs whose silence could be noticed. A
     member dies: its group must be formed again before requests are admitted
     again.
     """
--- a/tests/gateway/test_spares.py
+++ b/tests/gateway/test_spares.py
@@ -47,11 +47,11 @@
     window_ms = loads.LOAD_WINDOW_MS
     places = ("a", "b", "c")
     begun = 0
-    for life in range(2):
+    for generation in range(2):
         for place in places:
             runners = [
                 builders.runner(number, place=place)
-                for number in range(100 * life, 100 * life + 40)
+                for number in range(100 * generation, 100 * generation + 40)
             ]
             bench = planners.Bench(
                 runners,
@@ -112,8 +112,8 @@
 def test_host_that_refuses_to_load_is_left_alone_for_a_while():
     """Guards against repeated orders to a host that refuses them.
 
-    It loads for a planner that died, and its report does not show that. Asked
-    again at once it refused each time, and each order has its cost.
+    It loads for a planner that died, and its report does not show that. When it
+    was asked again at once it refused each time, and each order takes a call.
     """
     bench = planners.Bench([builders.runner(1)])
     (order,) = planners.orders_of(bench.step(), orders.Operation.STAGE)
@@ -124,7 +124,7 @@
     assert planners.orders_of(bench.step(2500), orders.Operation.STAGE)
 
 
-def busy_small(spares, requests=12):
+def models_loaded(spares, requests=12):
     """Returns the models that these spares are ordered to load.
 
     There is one group of each model, and by default the small one is busier.
@@ -163,17 +163,17 @@
     The survivors of the next failure of the busier one would wait for a whole
     load.
     """
-    assert busy_small({"large": 2}) == ["small"]
+    assert models_loaded({"large": 2}) == ["small"]
 
 
 def test_last_spare_of_a_model_is_kept():
-    assert not busy_small({"large": 1})
+    assert not models_loaded({"large": 1})
 
 
 def test_spares_are_not_given_to_a_less_busy_model():
-    assert not busy_small({"large": 2}, requests=2)
+    assert not models_loaded({"large": 2}, requests=2)
 
 
 def test_survivors_get_the_runner_that_they_lack():
     """Two survivors of a group of three stayed unused beside other spares."""
-    assert busy_small({"large": 2, "small": 2}) == ["small"]
+    assert models_loaded({"large": 2, "small": 2}) == ["small"]
