--- a/cardamommill/gateway/admitting.py
+++ b/cardamommill/gateway/admitting.py
@@ -1,4 +1,4 @@
-"""Whether a caller's request may be served, by the configuration in force."""
+"""Admits or rejects callers' requests by the configuration in force."""
 
 import dataclasses
 import math
@@ -8,21 +8,23 @@
 from cardamommill.platform import configurations, words
 
 DEFAULT_RETRY_AFTER_MS = 250.0
-# A key or route that this node doesn't know may be in a newer configuration.
-UNKNOWN_TRUST_MS = 2500.0
+# An unknown key or route may exist in a newer configuration. If the one in
+# force was last confirmed as the newest longer ago than this, the caller is
+# told to retry later and not that the key or route does not exist.
+MAX_STALENESS_TO_REJECT_MS = 2500.0
 
 
 class ConfigurationState(Protocol):
-    """What a node knows of the configuration, and since when."""
+    """The configuration that a node knows, and its staleness."""
 
     def table(self) -> routetable.RouteTable | None:
-        """Returns the configuration in force."""
+        """Returns the configuration in force, or None before it was read."""
 
     def config_age_ms(self) -> float:
-        """Returns for how long a newer one may have been accepted."""
+        """Returns for how long a newer configuration may have existed."""
 
     def keys_may_be_trusted(self) -> bool:
-        """Whether no key can have been taken away for too long."""
+        """Whether no key can have been revoked for longer than the limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,9 +33,10 @@
 
     Attributes:
         route: Its route.
-        deadline_at_ms: Until when it may be kept waiting.
-        tenant: Who holds its key; None where it needs none.
-        key_digest: Of its key, to be looked up again.
+        deadline_at_ms: The time by which it has to be answered.
+        tenant: The client account of its key; None if it needs no key.
+        key_digest: The digest of its key, for later checks whether it is still
+            valid.
     """
 
     route: model.Route
@@ -44,13 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that is answered at once.
+    """A request that is refused without an attempt.
 
     Attributes:
-        route: Its route, where that is known.
-        status: What the caller is told.
-        reason: Why, for the caller and the log.
-        retry_after_ms: When it is of use to come back; 0 for never.
+        route: Its route, if known.
+        status: The HTTP status of the answer.
+        reason: The reason, for the caller and the log.
+        retry_after_ms: When the caller may retry; 0 if a retry is of no use.
     """
 
     route: model.Route | None
@@ -61,21 +64,21 @@
 
 def admit(node: ConfigurationState,
           request: callers.CallerRequest) -> Admitted | Rejection:
-    """Returns what the configuration in force says of a request."""
+    """Checks a request against the configuration in force."""
     table = node.table()
     if table is None:
-        return _come_back(None, "no configuration yet")
+        return _retry_later(None, "no configuration yet")
     route = table.route(request.get("host") or "", request.target)
-    stale = node.config_age_ms() > UNKNOWN_TRUST_MS
+    stale = node.config_age_ms() > MAX_STALENESS_TO_REJECT_MS
     if route is None:
         if stale:
-            return _come_back(None, "no such route in an old view")
+            return _retry_later(None, "no such route in an old view")
         return Rejection(None, 404, "no such route")
     if not request.get(words.ATTEMPT_ID):
         return Rejection(route, 400, "no attempt id")
     if table.needs_keys and not route.public:
         return _admit_key(node, request, route, table, stale)
-    return Admitted(route, _end_ms(request, route))
+    return Admitted(route, _deadline_at_ms(request, route))
 
 
 def _admit_key(node: ConfigurationState, request: callers.CallerRequest,
@@ -85,21 +88,22 @@
     if scheme.lower() != "bearer" or not key.strip():
         return Rejection(route, 401, "no key")
     if not node.keys_may_be_trusted():
-        return _come_back(route, "keys not confirmed for too long")
+        return _retry_later(route, "keys not confirmed for too long")
     digest = configurations.key_digest(key.strip())
     tenant = table.tenant(digest)
     if tenant is None:
         if stale:
-            return _come_back(route, "unknown key in an old view")
+            return _retry_later(route, "unknown key in an old view")
         return Rejection(route, 401, "unknown key")
-    return Admitted(route, _end_ms(request, route), tenant, digest)
+    return Admitted(route, _deadline_at_ms(request, route), tenant, digest)
 
 
-def _come_back(route: model.Route | None, reason: str) -> Rejection:
+def _retry_later(route: model.Route | None, reason: str) -> Rejection:
     return Rejection(route, 503, reason, DEFAULT_RETRY_AFTER_MS)
 
 
-def _end_ms(request: callers.CallerRequest, route: model.Route) -> float:
+def _deadline_at_ms(request: callers.CallerRequest,
+                    route: model.Route) -> float:
     given_ms = httpheaders.number(request.get(words.DEADLINE_MS))
     limit_ms = min(given_ms if given_ms is not None else math.inf,
                    route.timeout_ms)
--- a/cardamommill/gateway/callers.py
+++ b/cardamommill/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests in, answers out, one at a time on each."""
+"""HTTP server for callers: one request at a time on each connection."""
 
 import asyncio
 from collections import deque
@@ -13,13 +13,16 @@
 from cardamommill import logs
 from cardamommill.gateway import clock, httpheaders, model, replies
 
-# After a refusal of a request that has not been read whole, its rest is read
-# and dropped for this long: closing at once would reset the refusal away.
+# After a refusal of a request that was not read completely, the remainder is
+# read and discarded for this long: closing at once would reset the connection
+# before the caller has read the refusal.
 LINGER_MS = 700
-# What may wait for a caller that does not read before more is written. One
-# large answer may be more: a caller that reads well was cut off in its middle.
-UNSENT_BYTES = 1 << 20
-# Requests that wait behind the one being answered on the same connection.
+# A write to a connection that has more unsent bytes than this aborts it, so
+# that callers that do not read use bounded memory. The bytes of the write
+# itself are not counted: a single large answer may exceed the limit, and a
+# caller that was reading it normally used to be disconnected in its middle.
+MAX_UNSENT_BYTES = 1 << 20
+# Pipelined requests that wait on a connection before it is no longer read.
 MAX_PIPELINED = 8
 DEFAULT_LIMITS = model.Limits(16_384, 4_194_304, 3000, 15_000)
 
@@ -28,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerRequest:
-    """One request, whole."""
+    """One complete request of a caller."""
 
     method: str
     target: str
@@ -37,15 +40,15 @@
     arrived_ms: float
 
     def get(self, name: str) -> str | None:
-        """Returns the first header of a name, whatever its case."""
+        """Returns the first header of a name, ignoring case."""
         return httpheaders.first_value(self.headers, name)
 
 
 class ActiveRequest(Protocol):
-    """A request that is being answered."""
+    """A request in progress, as returned by its handler."""
 
     def caller_left(self) -> None:
-        """The caller closed its connection."""
+        """Cancels the request: the caller closed its connection."""
 
 
 Handler = Callable[[CallerRequest, replies.Reply], ActiveRequest | None]
@@ -53,11 +56,12 @@
 
 def run_handler(handler: Handler, request: CallerRequest,
                 reply: replies.Reply) -> ActiveRequest | None:
-    """Has a request served; one whose handler fails is broken off.
+    """Calls the handler of a request and aborts the answer if it raises.
 
-    Without that its caller would wait until its time is over, or the parser,
-    where it called, would have it refused as malformed: a second answer, or one
-    to a request that may have run.
+    Otherwise the caller would wait until its deadline. If the handler was
+    called from within the parser, the parser would report the exception as a
+    malformed request, and the 400 would be a second answer, or deny a request
+    that may have run.
     """
     try:
         return handler(request, reply)
@@ -69,42 +73,44 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection; httptools calls its ``on_...`` methods."""
+    """A caller's connection; httptools calls its ``on_...`` methods."""
 
     def __init__(self, server: "CallerServer") -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._serving: ActiveRequest | None = None
-        self._busy = False
-        self._waiting: deque[CallerRequest] = deque()
-        self._refusing = False
+        self._active: ActiveRequest | None = None
+        self._is_answering = False
+        self._pipelined: deque[CallerRequest] = deque()
+        self._is_refusing = False
         self._reply: replies.Reply | None = None
-        # Whether the caller of the request that arrives waits to be told to
-        # send its body.
-        self._owes_continue = False
+        # Whether the caller waits for "100 Continue" before it sends the body
+        # of the request that is arriving.
+        self._continue_expected = False
         self._head_bytes = 0
-        self._in_head = True
+        self._is_in_head = True
         self._target = b""
         self._headers: list[tuple[str, str]] = []
         self._body = bytearray()
-        self.part_since_ms = 0.0
+        self.partial_since_ms = 0.0
         self.idle_since_ms = clock.now_ms()
 
     @property
     def closing(self) -> bool:
-        """Whether the connection ends after the answer that begins now."""
-        return self._refusing or (self._server.stopping and not self._waiting)
+        """Whether the connection closes after the answer that begins now."""
+        return self._is_refusing or (self._server.stopping and
+                                     not self._pipelined)
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being answered or has arrived in part."""
-        return self._busy or bool(self._waiting) or self.part_since_ms > 0
+        """Whether a request is being answered, is queued or is arriving."""
+        return self._is_answering or bool(
+            self._pipelined) or self.partial_since_ms > 0
 
     # asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes the transport; see asyncio.Protocol."""
+        """Registers the connection; see asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         raw = transport.get_extra_info("socket")
@@ -113,14 +119,16 @@
         self._server.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrived; see asyncio.Protocol."""
-        if self._refusing:
+        """Parses received bytes; see asyncio.Protocol."""
+        if self._is_refusing:
             return
-        if not self._busy and (not self.part_since_ms or not self._in_head):
-            # The head has a limit of its own; a body must make progress.
-            self.part_since_ms = clock.now_ms()
+        if not self._is_answering and (not self.partial_since_ms or
+                                       not self._is_in_head):
+            # The timeout of a head runs from its first byte, that of a body
+            # from its last one.
+            self.partial_since_ms = clock.now_ms()
         limits = self._server.limits
-        if self._in_head:
+        if self._is_in_head:
             self._head_bytes += len(data)
             if self._head_bytes > limits.header_bytes + len(self._body) and (
                     not self._headers_done(data)):
@@ -137,48 +145,49 @@
         return b"\r\n\r\n" in data
 
     def eof_received(self) -> bool:
-        """A caller that closes has left; see asyncio.Protocol."""
-        # Told at once: the loop closes the transport only in its next turn,
-        # and until then the request would go on to another runner.
-        self._tell_left()
+        """Cancels the requests of the connection; see asyncio.Protocol."""
+        # Not left to connection_lost: the loop closes the transport only in its
+        # next iteration, and until then the request could be retried at
+        # another runner.
+        self._notify_disconnected()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells whoever answers; see asyncio.Protocol."""
+        """Cancels the requests of the connection; see asyncio.Protocol."""
         del exc
         self._transport = None
         self._server.connections.pop(self, None)
-        self._tell_left()
+        self._notify_disconnected()
 
-    def _tell_left(self) -> None:
-        serving, self._serving = self._serving, None
-        self._waiting.clear()
+    def _notify_disconnected(self) -> None:
+        serving, self._active = self._active, None
+        self._pipelined.clear()
         if serving is not None:
             serving.caller_left()
 
     # httptools.
 
     def on_message_begin(self) -> None:
-        """Begins a request; see httptools."""
+        """Resets the state for a new request; see httptools."""
         self._target = b""
         self._headers = []
         self._body = bytearray()
-        self._in_head = True
+        self._is_in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target; see httptools."""
+        """Collects a part of the target; see httptools."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header; see httptools."""
-        if not self._in_head:
-            # Behind a body; no limit on heads holds for it.
+        """Collects a header; see httptools."""
+        if not self._is_in_head:
+            # Trailers are ignored: the limits on the head do not cover them.
             return
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Looks at the head; see httptools."""
-        self._in_head = False
+        """Checks the head against the limits; see httptools."""
+        self._is_in_head = False
         self._head_bytes = 0
         size = sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size + len(self._target) > self._server.limits.header_bytes:
@@ -191,84 +200,86 @@
                 self._refuse(413)
                 return
             if lower == "expect" and value.lower() == "100-continue":
-                self._owes_continue = True
-        self._tell_to_go_on()
-
-    def _tell_to_go_on(self) -> None:
-        # Not into an answer: its caller would take it for a part of that.
-        if self._owes_continue and not self._busy and not self._waiting:
-            self._owes_continue = False
+                self._continue_expected = True
+        self._send_continue()
+
+    def _send_continue(self) -> None:
+        # Never within an answer: the caller would read it as a part of that.
+        if (self._continue_expected and not self._is_answering and
+                not self._pipelined):
+            self._continue_expected = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body; see httptools."""
-        if self._refusing:
+        """Collects a part of the body; see httptools."""
+        if self._is_refusing:
             return
         self._body += data
         if len(self._body) > self._server.limits.body_bytes:
             self._refuse(413)
 
     def on_message_complete(self) -> None:
-        """Hands over the request; see httptools."""
-        self.part_since_ms = 0.0
+        """Queues the complete request; see httptools."""
+        self.partial_since_ms = 0.0
         self._head_bytes = 0
-        self._in_head = True
-        self._owes_continue = False
-        if self._refusing:
+        self._is_in_head = True
+        self._continue_expected = False
+        if self._is_refusing:
             return
         request = CallerRequest(self._parser.get_method().decode("latin-1"),
                                 self._target.decode("latin-1"), self._headers,
                                 bytes(self._body), clock.now_ms())
-        self._waiting.append(request)
-        if len(self._waiting) >= MAX_PIPELINED and self._transport:
+        self._pipelined.append(request)
+        if len(self._pipelined) >= MAX_PIPELINED and self._transport:
             self._transport.pause_reading()
         self._serve_next()
 
     # Answers.
 
     def _serve_next(self) -> None:
-        if self._busy or not self._waiting or self._transport is None:
+        if self._is_answering or not self._pipelined or self._transport is None:
             return
-        self._busy = True
-        request = self._waiting.popleft()
+        self._is_answering = True
+        request = self._pipelined.popleft()
         self._reply = reply = replies.Reply(self)
         serving = run_handler(self._server.handler, request, reply)
         if not reply.ended:
-            self._serving = serving
+            self._active = serving
 
     def answered(self) -> None:
-        """Goes on after an answer."""
-        self._busy = False
-        self._serving = None
+        """Closes the connection or continues with the next request."""
+        self._is_answering = False
+        self._active = None
         self.idle_since_ms = clock.now_ms()
         if self._transport is None:
             return
-        said_close = self._reply is not None and self._reply.said_close
-        if said_close:
-            self._waiting.clear()
-        if said_close or self.closing:
-            self._close_soon()
+        has_close = self._reply is not None and self._reply.announced_close
+        if has_close:
+            self._pipelined.clear()
+        if has_close or self.closing:
+            self._close_gracefully()
             return
-        self._tell_to_go_on()
+        self._send_continue()
         self._transport.resume_reading()
-        if self._waiting:
+        if self._pipelined:
             asyncio.get_running_loop().call_soon(self._serve_next)
 
-    def _close_soon(self) -> None:
+    def _close_gracefully(self) -> None:
         if self._transport is None:
             return
-        if self._refusing:
-            # The rest of the request is read and dropped for a while.
+        if self._is_refusing:
+            # The remainder of the request is discarded meanwhile.
             asyncio.get_running_loop().call_later(LINGER_MS / 1000, self.close)
             return
         self._transport.close()
 
     def _refuse(self, status: int) -> None:
-        if self._refusing:
+        if self._is_refusing:
             return
-        self._refusing = True
-        if self._busy or self._waiting:
-            # A refusal now would be taken for the answer to those.
+        self._is_refusing = True
+        if self._is_answering or self._pipelined:
+            # The caller would read a refusal as the answer to an earlier
+            # request.
             self.abort()
             return
         body = replies.REASONS[status].encode()
@@ -276,48 +287,48 @@
             replies.head_bytes(status, [("Content-Length",
                                          str(len(body)))], True) + body)
         self._server.on_refused(status)
-        self._close_soon()
+        self._close_gracefully()
 
     def time_out(self) -> None:
-        """Answers a request that did not arrive in time."""
+        """Refuses a request that did not arrive within the timeout."""
         self._refuse(408)
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, or cuts off a caller that doesn't read."""
+        """Sends bytes; aborts if too many earlier ones are unsent."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > UNSENT_BYTES:
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
             return
         transport.write(data)
 
     def close(self) -> None:
-        """Closes after what is unsent."""
+        """Closes the connection once all written bytes are sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection at once and discards unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class CallerServer:
-    """All callers' connections; a context manager within one loop."""
+    """Accepts callers' connections and applies limits and timeouts."""
 
     def __init__(self, handler: Handler, on_refused: Callable[[int],
                                                               None]) -> None:
         self.handler = handler
         self.on_refused = on_refused
         self.limits = DEFAULT_LIMITS
-        # In order of arrival, so that a run in simulated time repeats.
+        # Ordered by arrival, so that runs in simulated time are reproducible.
         self.connections: dict[CallerConnection, None] = {}
         self.stopping = False
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, host: str, port: int) -> None:
-        """Begins to take connections."""
+        """Starts to accept connections."""
         server = await asyncio.get_running_loop().create_server(
             lambda: CallerConnection(self),
             host,
@@ -329,29 +340,29 @@
     def enforce_timeouts(self, now_ms: float) -> None:
         """Closes idle connections and times out slow requests."""
         for connection in list(self.connections):
-            if connection.part_since_ms:
-                if now_ms - connection.part_since_ms > self.limits.header_ms:
+            if connection.partial_since_ms:
+                if now_ms - connection.partial_since_ms > self.limits.header_ms:
                     connection.time_out()
             elif not connection.busy and (now_ms - connection.idle_since_ms
                                           > self.limits.idle_ms):
                 connection.close()
 
     def stop(self) -> None:
-        """Ends each connection after its answer."""
+        """Has connections close once their queued requests are answered."""
         self.stopping = True
 
     def close_idle(self) -> None:
-        """Closes connections on which nothing is under way."""
+        """Closes connections without a request in progress."""
         for connection in list(self.connections):
             if not connection.busy:
                 connection.close()
 
     def close(self) -> None:
-        """Takes no more connections."""
+        """Stops accepting connections; open ones continue."""
         for server in self._servers:
             server.close()
 
     @property
     def busy(self) -> int:
-        """How many connections have a request under way."""
+        """The number of connections with a request in progress."""
         return sum(each.busy for each in self.connections)
--- a/cardamommill/gateway/clock.py
+++ b/cardamommill/gateway/clock.py
@@ -1,4 +1,4 @@
-"""The clock of evidence: it counts the time in which a VM was suspended."""
+"""The clock of the gateway; it includes the time while a VM is suspended."""
 
 from collections.abc import Callable, Iterator
 import contextlib
@@ -13,17 +13,18 @@
 
 
 def now_ms() -> float:
-    """Returns milliseconds on a clock that goes on while the VM sleeps.
+    """Returns milliseconds on a clock that continues while the VM is suspended.
 
-    A node that trusted a clock that stands still would, after a pause, send
-    work on evidence from before it, and on keys that were taken away.
+    With a clock that stops, a node would act on outdated data after a
+    suspension: it would send requests to runners by their state before it, and
+    accept keys that were revoked meanwhile.
     """
     return _read()
 
 
 @contextlib.contextmanager
 def override(read: Callable[[], float]) -> Iterator[None]:
-    """Has another clock read, for runs in simulated time."""
+    """Replaces the clock within a context, for runs in simulated time."""
     global _read
     before, _read = _read, read
     try:
@@ -34,13 +35,13 @@
 
 def drop_expired(table: dict[_Key, _Value], at_ms: Callable[[_Value], float],
                  age_ms: float, now: float) -> None:
-    """Drops from a table what is older than an age.
+    """Removes the entries of a table that are older than an age.
 
     Args:
-        table: Changed in place.
-        at_ms: Returns a value's time.
-        age_ms: The greatest that is kept.
-        now: The time, in ms.
+        table: The table; changed in place.
+        at_ms: Returns the time of a value.
+        age_ms: The greatest age that is kept.
+        now: The current time, in ms.
     """
     for key, value in list(table.items()):
         if now - at_ms(value) > age_ms:
--- a/cardamommill/gateway/freshness.py
+++ b/cardamommill/gateway/freshness.py
@@ -1,10 +1,11 @@
-"""How young the belief is that the configuration is still the newest."""
+"""Tracks how long ago the configuration was confirmed as the newest."""
 
 import dataclasses
 
-# Less than the bound after which a key that was taken away must not work,
-# by what a request may take from this check to the runner.
-CONFIRMED_SLACK_MS = 600.0
+# A request may take this long from the check of its key to the runner. Keys are
+# trusted for this much less than the bound after which a revoked key must no
+# longer work.
+REVOCATION_MARGIN_MS = 600.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -12,21 +13,22 @@
     """When the configuration in force was last known to be the newest.
 
     Attributes:
-        revoke_ms: The bound for keys that were taken away.
-        confirmed_ms: Until when nobody had accepted a newer one.
+        revoke_ms: The time after which a revoked key must no longer work.
+        confirmed_ms: The latest time at which it is known to have been the
+            newest.
     """
 
     revoke_ms: float
     confirmed_ms: float = float("-inf")
 
     def confirm(self, as_of_ms: float) -> None:
-        """Notes that the configuration in force was the newest then."""
+        """Records that the configuration in force was the newest at a time."""
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
 
     def age_ms(self, now_ms: float) -> float:
-        """Returns for how long a newer one may have been in force."""
+        """Returns for how long a newer configuration may have existed."""
         return now_ms - self.confirmed_ms
 
     def keys_may_be_trusted(self, now_ms: float) -> bool:
-        """Whether no key can have been taken away for too long."""
-        return self.age_ms(now_ms) < self.revoke_ms - CONFIRMED_SLACK_MS
+        """Whether no key can have been revoked for longer than the limit."""
+        return self.age_ms(now_ms) < self.revoke_ms - REVOCATION_MARGIN_MS
--- a/cardamommill/gateway/replies.py
+++ b/cardamommill/gateway/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers: each step of one follows what was sent of it."""
+"""Writes answers to callers and enforces the order of their parts."""
 
 import enum
 import http
@@ -13,25 +13,25 @@
 _LOG = logbook.Logger("callers")
 
 
-class Line(Protocol):
-    """The connection that carries an answer."""
+class ReplyConnection(Protocol):
+    """The connection on which an answer is sent."""
 
     @property
     def closing(self) -> bool:
-        """Whether it ends after the answer that begins now."""
+        """Whether it closes after the answer that begins now."""
 
     def write(self, data: bytes) -> None:
         """Sends bytes."""
 
     def answered(self) -> None:
-        """Goes on after an answer."""
+        """Continues after a complete answer."""
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection at once and discards unsent bytes."""
 
 
 class _Sent(enum.Enum):
-    """How much of an answer has been sent."""
+    """How much of an answer has been sent; values appear in logs."""
 
     NOTHING = "nothing"
     PART = "a part"
@@ -39,88 +39,90 @@
 
 
 class _Step(enum.Enum):
-    """What may be sent next of an answer."""
+    """A step in sending an answer; values appear in logs."""
 
-    WHOLE = "a whole answer"
+    COMPLETE = "a whole answer"
     START = "a head"
-    PIECE = "a piece"
+    CHUNK = "a piece"
     END = "the end"
-    BREAK_OFF = "the breaking off"
+    ABORT = "the breaking off"
 
 
-# What follows on what, and what is sent then. Callers took a whole failure
-# behind events for bytes of their stream, since each decision had to remember
-# what was sent; here no step is taken that does not follow, whoever asks.
-_FOLLOWS = {
-    (_Sent.NOTHING, _Step.WHOLE): _Sent.ALL,
+# The allowed steps in each state, and the state that follows. They are enforced
+# here and not left to the code that answers: when that had to keep track of
+# what was sent, a complete error answer was written after events of a stream,
+# and the caller read it as a part of the stream.
+_TRANSITIONS = {
+    (_Sent.NOTHING, _Step.COMPLETE): _Sent.ALL,
     (_Sent.NOTHING, _Step.START): _Sent.PART,
-    (_Sent.NOTHING, _Step.BREAK_OFF): _Sent.ALL,
-    (_Sent.PART, _Step.PIECE): _Sent.PART,
+    (_Sent.NOTHING, _Step.ABORT): _Sent.ALL,
+    (_Sent.PART, _Step.CHUNK): _Sent.PART,
     (_Sent.PART, _Step.END): _Sent.ALL,
-    (_Sent.PART, _Step.BREAK_OFF): _Sent.ALL,
+    (_Sent.PART, _Step.ABORT): _Sent.ALL,
 }
 
 
 class Reply:
     """The answer to one request.
 
-    Each step raises `AnswerOutOfOrder` where it does not follow what was sent.
+    Each method that sends raises `AnswerOutOfOrder` if what was sent before
+    does not allow it.
     """
 
-    def __init__(self, connection: Line) -> None:
+    def __init__(self, connection: ReplyConnection) -> None:
         self._connection = connection
         self._sent = _Sent.NOTHING
-        # Whether its head says that the connection ends behind it.
-        self.said_close = False
+        # Whether the head contained "Connection: close".
+        self.announced_close = False
 
     @property
     def started(self) -> bool:
-        """Whether the caller was sent any of it."""
+        """Whether any part of the answer was sent."""
         return self._sent is not _Sent.NOTHING
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more may be sent."""
+        """Whether the answer was completed or aborted."""
         return self._sent is _Sent.ALL
 
     def send(self, status: int, headers: list[tuple[str, str]],
              body: bytes) -> None:
-        """Sends an answer at once."""
-        self._take(_Step.WHOLE)
-        self.said_close = self._connection.closing
+        """Sends a complete answer."""
+        self._advance(_Step.COMPLETE)
+        self.announced_close = self._connection.closing
         self._connection.write(
-            head_bytes(status, [*headers, ("Content-Length",
-                                           str(len(body)))], self.said_close) +
+            head_bytes(status, [*headers, (
+                "Content-Length", str(len(body)))], self.announced_close) +
             body)
         self._connection.answered()
 
     def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begins an answer whose length is not known."""
-        self._take(_Step.START)
-        self.said_close = self._connection.closing
+        """Sends the head of a chunked answer."""
+        self._advance(_Step.START)
+        self.announced_close = self._connection.closing
         self._connection.write(
             head_bytes(status, [*headers, ("Transfer-Encoding", "chunked")],
-                       self.said_close))
+                       self.announced_close))
 
     def write(self, data: bytes) -> None:
-        """Sends a piece."""
-        self._take(_Step.PIECE)
+        """Sends a chunk of the body."""
+        self._advance(_Step.CHUNK)
         self._connection.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end(self) -> None:
-        """Ends an answer that is complete."""
-        self._take(_Step.END)
+        """Ends a chunked answer that is complete."""
+        self._advance(_Step.END)
         self._connection.write(b"0\r\n\r\n")
         self._connection.answered()
 
     def abort(self) -> None:
-        """Ends an answer that is not complete so that it looks like that."""
-        self._take(_Step.BREAK_OFF)
+        """Closes the connection, so that the answer is seen as incomplete."""
+        self._advance(_Step.ABORT)
         self._connection.abort()
 
-    def _take(self, step: _Step) -> None:
+    def _advance(self, step: _Step) -> None:
         before = self._sent
-        after = _FOLLOWS.get((before, step))
+        after = _TRANSITIONS.get((before, step))
         if after is not None:
             self._sent = after
             return
@@ -128,7 +130,8 @@
             logs.line("answer-out-of-order", step=step.value,
                       sent=before.value))
         if before is not _Sent.ALL:
-            # After the end the connection may carry another request's answer.
+            # Not after the end: by then the connection may carry the answer to
+            # another request.
             self._sent = _Sent.ALL
             self._connection.abort()
         raise exceptions.AnswerOutOfOrder(
@@ -137,7 +140,7 @@
 
 def head_bytes(status: int, headers: list[tuple[str, str]],
                closing: bool) -> bytes:
-    """Returns the head of an answer."""
+    """Returns the encoded status line and headers of an answer."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if closing:
--- a/cardamommill/gateway/routetable.py
+++ b/cardamommill/gateway/routetable.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the client account of its key."""
+"""Looks up the route of a request and the client account of its key."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """One configuration, laid out for looking up."""
+    """The routes and client accounts of one configuration, indexed."""
 
     def __init__(self, configuration: model.Configuration) -> None:
         self.configuration = configuration
@@ -19,7 +19,7 @@
         }
 
     def route(self, host: str, target: str) -> model.Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest prefix of the path, or None.
 
         Args:
             host: The Host header, with or without a port.
@@ -38,28 +38,31 @@
         return None
 
     def tenant(self, digest: bytes) -> model.Tenant | None:
-        """Returns the client account that holds a key."""
+        """Returns the client account of a key, or None if it is unknown."""
         return self._tenants.get(digest)
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests carry keys at all."""
+        """Whether the configuration has client accounts, and so keys."""
         return bool(self.configuration.tenants)
 
 
-def draw_backend_order(route: model.Route, chance: random.Random) -> list[str]:
-    """Returns the services of a route, one drawn by weight first."""
-    left = list(route.backends)
+def draw_backend_order(route: model.Route, rng: random.Random) -> list[str]:
+    """Returns the services of a route in a random order by weight.
+
+    Services without a positive weight are left out.
+    """
+    remaining = list(route.backends)
     order = []
-    while left:
-        total = sum(max(0.0, weight) for _, weight in left)
+    while remaining:
+        total = sum(max(0.0, weight) for _, weight in remaining)
         if total <= 0:
             break
-        drawn = chance.random() * total
-        for each in left:
+        drawn = rng.random() * total
+        for each in remaining:
             drawn -= max(0.0, each[1])
             if drawn <= 0:
                 break
         order.append(each[0])
-        left.remove(each)
+        remaining.remove(each)
     return order
--- a/cardamommill/gateway/statuspages.py
+++ b/cardamommill/gateway/statuspages.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's questions and the reading of figures."""
+"""Serves the readiness check of the load balancer, and the metrics."""
 
 from collections.abc import Callable
 
@@ -10,16 +10,16 @@
 
 
 class StatusPages:
-    """Pages that are not for callers."""
+    """Handler of the pages for operation; no request goes to a runner."""
 
     def __init__(self, is_ready: Callable[[], bool],
-                 figures: metrics.Metrics) -> None:
+                 registry: metrics.Metrics) -> None:
         self._is_ready = is_ready
-        self._metrics = figures
+        self._metrics = registry
 
     def answer(self, request: callers.CallerRequest,
                reply: replies.Reply) -> None:
-        """Answers one; it never goes to a runner."""
+        """Answers a request for a page."""
         status, body = self._page(request.target)
         reply.send(status, [("Content-Type", "text/plain")], body)
 
--- a/tests/gateway/test_heldrequests.py
+++ b/tests/gateway/test_heldrequests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that come to a node that has just started."""
+"""Tests of requests that arrive at a node that has just started."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class Serving:
-    """Keeps whether it was told that its caller left."""
+    """A request in progress that records whether its caller left."""
 
     def __init__(self):
         self.left = False
@@ -17,8 +17,11 @@
         self.left = True
 
 
-def play(known_after_ms, left_after_ms=1e9, length_ms=400.0, fails=False):
-    """Returns what became of a request, and after how long it was served."""
+def run_held_request(known_after_ms,
+                     left_after_ms=1e9,
+                     length_ms=400.0,
+                     fails=False):
+    """Returns when a request was served, in ms, and its state at the end."""
     served = []
     reply = relays.FakeReply()
 
@@ -49,32 +52,32 @@
         return served, loop.run_until_complete(main())
 
 
-def test_request_is_served_as_soon_as_the_node_knows_what_it_serves():
-    """Callers of a stopped node are back before its successor has read much.
+def test_request_is_served_as_soon_as_the_node_is_ready():
+    """Callers of a stopped node retry before its successor is ready.
 
-    It refused them, and many do not come twice.
+    The successor refused them, and many do not retry again.
     """
-    (served_ms,), _ = play(known_after_ms=40.0)
+    (served_ms,), _ = run_held_request(known_after_ms=40.0)
     assert 40.0 <= served_ms <= 40.0 + 2 * heldrequests.POLL_INTERVAL_MS
 
 
-def test_request_is_not_held_for_a_node_that_learns_nothing():
-    """The store is away; the request is answered, and told to come back."""
-    (served_ms,), _ = play(known_after_ms=1e9)
+def test_request_is_not_held_longer_if_the_node_stays_unready():
+    """Without the store the request is refused and may be retried later."""
+    (served_ms,), _ = run_held_request(known_after_ms=1e9)
     assert served_ms <= 1.1 * heldrequests.MAX_HOLD_MS
 
 
-def test_request_whose_caller_left_is_not_served():
-    served, _ = play(known_after_ms=100.0, left_after_ms=50.0)
+def test_request_whose_caller_disconnected_is_not_served():
+    served, _ = run_held_request(known_after_ms=100.0, left_after_ms=50.0)
     assert not served
 
 
-def test_caller_that_leaves_later_is_told_to_whoever_serves():
-    _, serving = play(known_after_ms=20.0, left_after_ms=100.0)
+def test_later_disconnect_is_reported_to_the_active_request():
+    _, serving = run_held_request(known_after_ms=20.0, left_after_ms=100.0)
     assert serving.left
 
 
-def test_request_whose_serving_fails_is_not_left_without_an_end():
-    """An error in a task of its own would reach nobody who answers."""
-    _, serving = play(known_after_ms=20.0, fails=True)
+def test_request_whose_handler_fails_is_aborted():
+    """An exception in the task of a held request is handled nowhere else."""
+    _, serving = run_held_request(known_after_ms=20.0, fails=True)
     assert serving.reply.ending == "broken off"
--- a/tests/gateway/test_replies_transitions.py
+++ b/tests/gateway/test_replies_transitions.py
@@ -1,4 +1,4 @@
-"""Rows of the table of an answer's steps that no other test tells apart."""
+"""Tests of the transitions of a reply that no other test covers."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from tests.gateway import relays
 
 
-class Line:
-    """A caller's connection that keeps what it is told."""
+class Connection:
+    """A caller's connection that records what is sent on it."""
 
     closing = False
 
@@ -30,56 +30,57 @@
 
 
 def _reply():
-    line = Line()
-    return replies.Reply(line), line
+    connection = Connection()
+    return replies.Reply(connection), connection
 
 
 @pytest.mark.parametrize("is_begun", [False, True])
-def test_answer_may_be_broken_off_before_its_end(is_begun):
-    reply, line = _reply()
+def test_answer_may_be_aborted_before_its_end(is_begun):
+    reply, connection = _reply()
     if is_begun:
         reply.start(200, [])
     reply.abort()
-    assert reply.ended and line.ends == ["aborted"]
+    assert reply.ended and connection.ends == ["aborted"]
 
 
 @pytest.mark.parametrize("step", [
     lambda reply: reply.start(200, []),
     lambda reply: reply.abort(),
 ])
-def test_complete_answer_is_followed_by_nothing(step):
-    reply, line = _reply()
+def test_nothing_is_sent_after_a_complete_answer(step):
+    reply, connection = _reply()
     reply.send(200, [], b"own")
-    before = line.got
+    before = connection.got
     with pytest.raises(exceptions.AnswerOutOfOrder):
         step(reply)
-    assert (line.got, line.ends) == (before, ["answered"])
+    assert (connection.got, connection.ends) == (before, ["answered"])
 
 
 def test_answer_with_a_step_out_of_order_has_ended():
-    """A piece comes before its head, and the head after it.
+    """A chunk is written before the head, and the head after it.
 
-    The connection was closed for the piece. The head must not go out on it, and
-    whoever asks has to learn that nothing more may be sent.
+    The chunk aborts the connection. The head must not be sent on it, and the
+    reply must count as ended.
     """
-    reply, line = _reply()
+    reply, connection = _reply()
     with pytest.raises(exceptions.AnswerOutOfOrder):
         reply.write(b"x")
     with pytest.raises(exceptions.AnswerOutOfOrder):
         reply.start(200, [])
-    assert reply.ended and (line.got, line.ends) == (b"", ["aborted"])
+    assert reply.ended and (connection.got, connection.ends) == (b"",
+                                                                 ["aborted"])
 
 
-def test_request_whose_answer_takes_a_step_out_of_order_is_told_as_ended():
-    """Something ends a stream's answer while its runner goes on.
+def test_request_with_a_step_out_of_order_is_reported_once():
+    """The answer of a stream is ended before its runner ends the stream.
 
-    The runner's own end then can't follow. The step is not taken, and the
-    request is told of as broken off, once.
+    The second end is out of order and not sent, and the request is reported
+    once, as broken off.
     """
     node = relays.FakeNode()
 
-    async def work():
-        reply, line = _reply()
+    async def script():
+        reply, connection = _reply()
         relays.begin(node, reply=reply)
         await asyncio.sleep(0.01)
         first = node.exchanges[0]
@@ -89,9 +90,9 @@
         first.complete()
         await asyncio.sleep(0.01)
         node.task.result()
-        return line
+        return connection
 
-    line = asyncio.run(work())
-    assert line.ends == ["answered"]
+    connection = asyncio.run(script())
+    assert connection.ends == ["answered"]
     assert [reason.partition(":")[0] for _, reason in node.ends
            ] == ["broken off"]
--- a/tests/gateway/test_routetable.py
+++ b/tests/gateway/test_routetable.py
@@ -1,4 +1,4 @@
-"""Tests of routes and keys."""
+"""Tests of the route table."""
 
 import random
 
@@ -24,29 +24,29 @@
     assert found.route("h", "/a/b").name == "short"
 
 
-def test_no_prefix_no_route():
+def test_path_without_a_matching_prefix_has_no_route():
     assert table(route("a", "/a/")).route("h", "/b/a/") is None
     assert table(route("a", "/a/")).route("other", "/a/x") is None
 
 
-def test_query_is_no_part_of_the_path():
+def test_query_is_not_a_part_of_the_path():
     assert table(route("a", "/a/")).route("h", "/?x=/a/") is None
 
 
-def test_host_is_found_with_port_and_in_any_case():
+def test_host_matches_with_port_and_in_any_case():
     assert table(route("root", "/")).route("H:80", "/x").name == "root"
 
 
-def test_tenant_by_digest():
+def test_tenant_is_found_by_digest():
     tenant = model.Tenant("t", (b"d",), 1)
     found = table(tenants=(tenant,))
     assert found.tenant(b"d") is tenant and found.tenant(b"e") is None
     assert found.needs_keys
 
 
-def test_backends_are_drawn_by_weight_and_each_comes_once():
+def test_backends_are_drawn_by_weight_once_each():
     split = route("a", "/a/", backends=(("x", 90.0), ("y", 10.0), ("z", 0.0)))
-    chance = random.Random(1)
-    first = [routetable.draw_backend_order(split, chance) for _ in range(1000)]
+    rng = random.Random(1)
+    first = [routetable.draw_backend_order(split, rng) for _ in range(1000)]
     assert 850 <= sum(each[0] == "x" for each in first) <= 940
     assert all(sorted(each) == ["x", "y"] for each in first)
--- a/tests/gateway/test_statuspages.py
+++ b/tests/gateway/test_statuspages.py
@@ -1,4 +1,4 @@
-"""Tests of pages that are not for callers."""
+"""Tests of the readiness and metrics pages."""
 
 import pytest
 
@@ -13,7 +13,7 @@
                           (words.READY_PATH, False, 503),
                           (statuspages.METRICS_PATH, False, 200),
                           ("/other", True, 404)])
-def test_each_page_has_its_answer(target, is_ready, status):
+def test_status_of_each_page(target, is_ready, status):
     reply = relays.FakeReply()
     pages = statuspages.StatusPages(lambda: is_ready, metrics.Metrics())
     pages.answer(callers.CallerRequest("GET", target, [], b"", 0.0), reply)
