--- a/cardamommill/gateway/attempts.py
+++ b/cardamommill/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a request at one runner, and how it ended."""
+"""An attempt of a request at one runner, and its outcome."""
 
 import asyncio
 import dataclasses
@@ -11,46 +11,48 @@
 from cardamommill.gateway import eventparser, upstream
 from cardamommill.platform import words
 
-# The largest answer that is not a stream.
+# Limit for the body of an answer that is not a stream.
 MAX_ANSWER_BYTES = 8 << 20
 
 _OK_FIRST = 200
 _OK_LAST = 299
-# To a caller these say that the request has not run. A runner that says so
-# without a promise has run it and failed.
-_UNPROMISED = frozenset({408, 429})
+# A caller takes these statuses as a statement that the request has not run.
+# From a runner they mean that only together with its header for "not executed";
+# without it they count as a failed run.
+_FAILURES_BELOW_500 = frozenset({408, 429})
 _FAULT_FIRST = 500
 
 _LOG = logbook.Logger("attempts")
 
 
 class Result(enum.Enum):
-    """What is known of a try."""
+    """The result of an attempt."""
 
-    # A whole answer that goes to the caller.
+    # A complete answer, to be passed to the caller.
     ANSWERED = "answered"
-    # A whole answer by which the runner says that it failed. Another runner
-    # may do better.
+    # A complete answer that reports a failure of the runner. Another runner may
+    # succeed.
     FAILED = "failed"
-    # All events of a stream went to the caller.
+    # A complete stream, whose events were passed to the caller.
     STREAMED = "streamed"
-    # The runner said that it did not run the request.
+    # The runner stated that it did not run the request.
     NOT_RUN = "not-run"
-    # Nothing left this node.
+    # No byte of the request left this node.
     UNSENT = "unsent"
-    # It may have run: no answer, a cut one, or what is none.
+    # The request may have run: there was no answer, or a truncated or invalid
+    # one.
     BROKEN = "broken"
-    # This node went away from it: its group fell silent.
+    # This node cancelled the attempt since its group became silent.
     DIVERTED = "diverted"
-    # The request's time is over.
+    # The deadline of the request passed.
     TIMED_OUT = "timed-out"
-    # The caller left.
+    # The caller closed its connection.
     ABANDONED = "abandoned"
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """How a try ended."""
+    """The result of an attempt, and the answer if there is one."""
 
     result: Result
     reason: str = ""
@@ -59,17 +61,17 @@
 
 
 class AnswerSink(Protocol):
-    """Who takes an answer's head and a stream's events."""
+    """Callbacks for the head of an answer and the events of a stream."""
 
     def on_head(self, head: upstream.Head) -> None:
         """Takes the head of an answer to this request."""
 
     def on_event(self, head: upstream.Head, event: eventparser.Event) -> bool:
-        """Takes a whole event; False where it does not follow the last."""
+        """Takes a complete event; returns False if one before it is missing."""
 
 
 class Attempt:
-    """Receives one answer; see `upstream.Receiver`."""
+    """Receives the answer to an attempt; see `upstream.Receiver`."""
 
     def __init__(self, attempt_id: str, streaming: bool,
                  sink: AnswerSink) -> None:
@@ -81,10 +83,10 @@
         self._sink = sink
         self._head = upstream.Head()
         self._body = bytearray()
-        self._cutter: eventparser.EventParser | None = None
+        self._parser: eventparser.EventParser | None = None
 
     def cancel(self, result: Result, reason: str) -> None:
-        """Ends the try from this side; the runner sees its connection end."""
+        """Ends the attempt and closes its connection to the runner."""
         if self.done.done():
             return
         was_sent = self.exchange is not None and self.exchange.sent
@@ -97,7 +99,7 @@
             self.exchange.cancel()
 
     def on_head(self, head: upstream.Head) -> bool:
-        """Takes a head; one of another request is skipped."""
+        """Takes a head; skips an answer with the id of another request."""
         echo = head.get(words.ATTEMPT_ID)
         if echo is not None and echo != self._attempt_id:
             _LOG.warning(
@@ -110,27 +112,27 @@
         if echo is not None:
             self._sink.on_head(head)
         if self._streaming and head.status == _OK_FIRST and (
-                self._sound_success()):
-            self._cutter = eventparser.EventParser()
+                self._is_own_success()):
+            self._parser = eventparser.EventParser()
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Takes a part of the body."""
         if self.done.done():
             return
-        if self._cutter is None:
+        if self._parser is None:
             self._body += data
             if len(self._body) > MAX_ANSWER_BYTES:
-                self._break("answer too large")
+                self._fail("answer too large")
             return
         try:
-            events = self._cutter.feed(data)
+            events = self._parser.feed(data)
         except ValueError as error:
-            self._break(str(error))
+            self._fail(str(error))
             return
         for event in events:
             if not self._sink.on_event(self._head, event):
-                self._break("an event that does not follow the last")
+                self._fail("an event that does not follow the last")
                 return
 
     def on_end(self, ending: upstream.Ending, reason: str) -> None:
@@ -146,29 +148,29 @@
 
     def _complete(self) -> Outcome:
         status = self._head.status
-        if self._cutter is not None:
-            if self._cutter.has_partial_event:
+        if self._parser is not None:
+            if self._parser.has_partial_event:
                 return Outcome(Result.BROKEN, "ended within an event")
             return Outcome(Result.STREAMED, head=self._head)
         if _OK_FIRST <= status <= _OK_LAST:
-            if not self._sound_success():
+            if not self._is_own_success():
                 return Outcome(Result.BROKEN, f"{status} that is not its own")
             return Outcome(Result.ANSWERED, "", self._head, bytes(self._body))
         if self._head.get(words.NOT_EXECUTED) is not None or status == 421:
             return Outcome(Result.NOT_RUN, f"runner said {status}", self._head)
         if self._head.get(words.ATTEMPT_ID) is None:
             return Outcome(Result.BROKEN, f"{status} without the request's id")
-        if status >= _FAULT_FIRST or status in _UNPROMISED:
+        if status >= _FAULT_FIRST or status in _FAILURES_BELOW_500:
             return Outcome(Result.FAILED, f"runner said {status}", self._head,
                            bytes(self._body))
         return Outcome(Result.ANSWERED, "", self._head, bytes(self._body))
 
-    def _sound_success(self) -> bool:
+    def _is_own_success(self) -> bool:
         return (self._head.get(words.ATTEMPT_ID) == self._attempt_id and
                 self._head.get(words.SEAL) is not None and
                 self._head.get("content-encoding") is None)
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         if not self.done.done():
             self.done.set_result(Outcome(Result.BROKEN, reason))
         if self.exchange is not None:
--- a/cardamommill/gateway/eventparser.py
+++ b/cardamommill/gateway/eventparser.py
@@ -1,51 +1,52 @@
-"""Cuts a stream of events at their boundaries and reads their ids."""
+"""Splits a stream of server-sent events and reads their ids."""
 
 import dataclasses
 
-# One event is some hundred bytes; a peer that never ends one is at fault.
+# An event usually has some hundred bytes. The limit bounds the memory for a
+# faulty peer that never ends an event.
 MAX_EVENT_BYTES = 1 << 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event, with the empty line that ends it."""
+    """A complete event, including the empty line that ends it."""
 
     data: bytes
     id: int | None
 
 
 class EventParser:
-    """Collects bytes and gives out whole events."""
+    """Splits bytes received in any portions into complete events."""
 
     def __init__(self) -> None:
         self._rest = bytearray()
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """Whether the bytes so far end within an event."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Returns the events that these bytes complete.
+        """Returns the events that are complete with these bytes.
 
         Raises:
-            ValueError: An event is longer than any may be.
+            ValueError: An event is longer than MAX_EVENT_BYTES.
         """
         self._rest += data
         events = []
         while (end := self._rest.find(b"\n\n")) >= 0:
-            piece = bytes(self._rest[:end + 2])
+            block = bytes(self._rest[:end + 2])
             del self._rest[:end + 2]
-            events.append(Event(piece, event_id(piece)))
+            events.append(Event(block, event_id(block)))
         if len(self._rest) > MAX_EVENT_BYTES:
             raise ValueError("an event without an end")
         return events
 
 
-def event_id(piece: bytes) -> int | None:
-    """Returns an event's id where it is a number."""
-    start = 0 if piece.startswith(b"id:") else piece.find(b"\nid:") + 1
-    if start == 0 and not piece.startswith(b"id:"):
+def event_id(block: bytes) -> int | None:
+    """Returns the id of an event, or None if it is not a number."""
+    start = 0 if block.startswith(b"id:") else block.find(b"\nid:") + 1
+    if start == 0 and not block.startswith(b"id:"):
         return None
-    text = piece[start + 3:piece.find(b"\n", start)].strip()
+    text = block[start + 3:block.find(b"\n", start)].strip()
     return int(text) if text.isdigit() else None
--- a/cardamommill/gateway/fetching.py
+++ b/cardamommill/gateway/fetching.py
@@ -1,4 +1,4 @@
-"""Small requests of a node's own: one call, one whole answer."""
+"""Sends small requests of the node itself and returns complete answers."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """A whole answer, or why there is none (status 0)."""
+    """A complete answer, or the reason why there is none (status 0)."""
 
     ending: upstream.Ending
     head: upstream.Head
@@ -23,19 +23,19 @@
 
 
 class _Collector:
-    """Collects one small answer."""
+    """Receives a small answer; see `upstream.Receiver`."""
 
     def __init__(self, request: bytes) -> None:
-        self._has_id = words.ATTEMPT_ID.encode() in request
+        self._is_attempt = words.ATTEMPT_ID.encode() in request
         self.future: asyncio.Future[Answer] = (
             asyncio.get_running_loop().create_future())
         self._head = upstream.Head()
         self._body = bytearray()
 
     def on_head(self, head: upstream.Head) -> bool:
-        if not self._has_id and head.get(words.ATTEMPT_ID) is not None:
-            # A caller's request's, which came late: a 200 of one was taken for
-            # an order that is done.
+        if not self._is_attempt and head.get(words.ATTEMPT_ID) is not None:
+            # A late answer to a caller's request: the 200 of one was taken as
+            # the confirmation of an order.
             _LOG.warning(logs.line("answer-skipped", status=head.status))
             return False
         self._head = head
@@ -55,7 +55,15 @@
                 request: bytes,
                 timeout_ms: float,
                 new_connection: bool = False) -> Answer:
-    """Returns the whole answer to a small request of this node's own."""
+    """Sends a request of this node and returns the complete answer.
+
+    Args:
+        pool: Connections to peers.
+        address: Host and port of the peer.
+        request: Head and body, encoded.
+        timeout_ms: How long to wait for the complete answer.
+        new_connection: Whether to open a connection for this request only.
+    """
     collector = _Collector(request)
     exchange = pool.send(address, request, collector, new_connection)
     try:
@@ -74,7 +82,7 @@
                   target: str,
                   headers: list[tuple[str, str]],
                   body: bytes = b"") -> bytes:
-    """Returns a request's bytes; a body gets its length."""
+    """Returns an encoded request; adds the Content-Length of a body."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body or method in ("POST", "PUT", "PATCH"):
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""What is passed on of a request to a runner, and of its answer."""
+"""Translates requests and headers between callers and runners."""
 
 import dataclasses
 import zlib
@@ -12,11 +12,11 @@
 )
 from cardamommill.platform import words
 
-# Before a try that ends at the caller's time the runner is told less, so that
-# its own answer is back in time.
+# The deadline sent to the runner is this much earlier than the caller's, so
+# that the runner's own answer is back in time.
 DEADLINE_MARGIN_MS = 5.0
-# Ranks of the runner's queue: those that can be in time come before all that
-# can't.
+# Number of queue ranks for requests that can still be answered in time. As many
+# ranks follow for those that cannot.
 URGENT_RANKS = 5
 
 _HOP_HEADERS = frozenset({
@@ -24,17 +24,20 @@
     "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
     "content-length", "expect"
 })
-_OWN_HEADERS = frozenset(
+_NODE_HEADERS = frozenset(
     each.lower()
     for each in ("Authorization", words.DEADLINE_MS, words.EXPECT_INSTANCE,
                  words.TENANT, words.REQUEST_PRIORITY, words.LAST_EVENT_ID))
 
-_NOT_PASSED_ON = _HOP_HEADERS | _OWN_HEADERS
+_NOT_FORWARDED = _HOP_HEADERS | _NODE_HEADERS
 
 
 def runner_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Returns a caller's headers without those that this node sets itself."""
-    dropped = _NOT_PASSED_ON
+    """Returns a caller's headers without those that a runner must not get.
+
+    These are the hop-by-hop headers and those that this node sets itself.
+    """
+    dropped = _NOT_FORWARDED
     for name, value in headers:
         if name.lower() == "connection":
             dropped |= {each.strip().lower() for each in value.split(",")}
@@ -45,14 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptParameters:
-    """On what terms a runner gets a request.
+    """Values that this node adds to a request for one attempt.
 
     Attributes:
-        runner: The only one that may run it.
+        runner: The id of the only runner that may run it.
         remaining_ms: How much time its caller has left.
-        tenant: Whose it is; None where it needs no key.
-        rank: In the runner's queue, 0 is first; None for a plain service.
-        last_event_id: Where a stream goes on; None for its beginning.
+        tenant: The name of its client account; None if it needs no key.
+        rank: Its rank in the runner's queue, 0 is first; None for a plain
+            service.
+        last_event_id: The event after which a stream resumes; None to start it
+            from its beginning.
     """
 
     runner: str
@@ -63,26 +68,33 @@
 
 
 def queue_rank(priority: int, is_deferred: bool) -> int:
-    """Returns the rank in a runner's queue of a request of a priority."""
+    """Returns the rank of a request in a runner's queue, 0 for the first.
+
+    Args:
+        priority: The priority of the request, 0 is the highest.
+        is_deferred: Whether it can no longer be answered in time and comes
+            after all requests that can.
+    """
     urgent = min(URGENT_RANKS - 1, priority)
     return urgent + URGENT_RANKS if is_deferred else urgent
 
 
 def request_bytes(request: callers.CallerRequest,
-                  terms: AttemptParameters) -> bytes:
-    """Returns a request as a runner gets it."""
-    remaining_ms = max(1, int(terms.remaining_ms - DEADLINE_MARGIN_MS))
-    own = [(words.DEADLINE_MS, str(remaining_ms)),
-           (words.EXPECT_INSTANCE, terms.runner)]
-    if terms.tenant is not None:
-        own.append((words.TENANT, terms.tenant))
-    if terms.rank is not None:
-        own.append((words.REQUEST_PRIORITY, str(terms.rank)))
-    if terms.last_event_id is not None:
-        own.append((words.LAST_EVENT_ID, str(terms.last_event_id)))
-    return fetching.request_bytes(request.method, request.target,
-                                  runner_headers(request.headers) + own,
-                                  request.body)
+                  parameters: AttemptParameters) -> bytes:
+    """Returns the encoded request for a runner."""
+    remaining_ms = max(1, int(parameters.remaining_ms - DEADLINE_MARGIN_MS))
+    node_headers = [(words.DEADLINE_MS, str(remaining_ms)),
+                    (words.EXPECT_INSTANCE, parameters.runner)]
+    if parameters.tenant is not None:
+        node_headers.append((words.TENANT, parameters.tenant))
+    if parameters.rank is not None:
+        node_headers.append((words.REQUEST_PRIORITY, str(parameters.rank)))
+    if parameters.last_event_id is not None:
+        node_headers.append(
+            (words.LAST_EVENT_ID, str(parameters.last_event_id)))
+    return fetching.request_bytes(
+        request.method, request.target,
+        runner_headers(request.headers) + node_headers, request.body)
 
 
 def caller_headers(head: upstream.Head) -> list[tuple[str, str]]:
@@ -93,7 +105,7 @@
 
 
 def token_counts(request: callers.CallerRequest) -> placing.TokenCounts:
-    """Returns what a request says that it asks of an engine."""
+    """Returns the token counts that a request states in its headers."""
     counts = (request.get(words.TOKEN_COUNTS) or "").split(",")
     numbers = [
         found for each in counts
@@ -106,7 +118,7 @@
 
 
 def fingerprint(request: callers.CallerRequest) -> int:
-    """Returns what is the same when the same request is sent again."""
+    """Returns a hash that is equal if the same request is sent again."""
     counts = request.get(words.TOKEN_COUNTS) or ""
     named = f"{request.method} {request.target} {counts}"
     return zlib.crc32(request.body, zlib.crc32(named.encode()))
--- a/cardamommill/gateway/httpheaders.py
+++ b/cardamommill/gateway/httpheaders.py
@@ -1,20 +1,20 @@
-"""Fields of a message's head."""
+"""Reads header fields of HTTP messages."""
 
-# More are no count, time or id of any kind.
+# No count, time or id has more digits; a longer number is invalid.
 MAX_DIGITS = 18
 
 Headers = list[tuple[str, str]]
 
 
 def first_value(headers: Headers, name: str) -> str | None:
-    """Returns the first field of a name, whatever its case."""
+    """Returns the value of the first field of a name, ignoring case."""
     wanted = name.lower()
     return next((value for key, value in headers if key.lower() == wanted),
                 None)
 
 
 def number(text: str | None) -> int | None:
-    """Returns the number that a field holds, if it holds one."""
+    """Returns the non-negative integer in a field, or None if it has none."""
     digits = (text or "").strip()
     if not digits.isascii() or not digits.isdigit() or (len(digits)
                                                         > MAX_DIGITS):
--- a/cardamommill/gateway/retrydecision.py
+++ b/cardamommill/gateway/retrydecision.py
@@ -1,4 +1,4 @@
-"""What follows a try, by how it ended and what the request allows."""
+"""Decides whether an attempt is retried or what its caller is answered."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class NextStep(enum.Enum):
-    """What to do after a try."""
+    """The step that follows an attempt."""
 
     PASS_ON = "pass-on"
     RETRY = "elsewhere"
@@ -19,13 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestState:
-    """What a request may still do.
+    """What a request allows after an attempt.
 
     Attributes:
-        repeatable: Whether it may run more than once.
-        may_have_run: Whether any try may have run it.
-        may_retry: Whether tries, budget and time allow another.
-        begun: Whether the caller has got a part of the answer.
+        repeatable: Whether the request may run more than once.
+        may_have_run: Whether any attempt may have run it.
+        may_retry: Whether the limits on attempts, retries and time allow
+            another attempt.
+        begun: Whether the caller has received a part of the answer.
     """
 
     repeatable: bool
@@ -34,35 +35,35 @@
     begun: bool = False
 
 
-# A try that did not run may be followed by another whatever the request is;
-# one that may have run, by none unless the request is repeatable.
+# Any request may be retried after these results. After all others the request
+# may have run, and only a repeatable one may be retried.
 _DID_NOT_RUN = frozenset({Result.NOT_RUN, Result.UNSENT})
-# What follows whatever else is the case.
+# Steps that depend on the result alone.
 _FINAL = {
     Result.STREAMED: NextStep.PASS_ON,
     Result.ABANDONED: NextStep.NOTHING,
     Result.TIMED_OUT: NextStep.ANSWER_TIMED_OUT,
 }
-# What is a whole answer of the runner. None may follow events: a stream whose
-# second runner answered with a failure got that answer's bytes as if they were
-# its events.
-_WHOLE = frozenset({Result.ANSWERED, Result.FAILED})
+# Results with a complete answer of the runner. It may not be passed on after
+# events of a stream: when the second runner of a stream answered with a
+# failure, the caller read the bytes of that answer as events.
+_COMPLETE_ANSWERS = frozenset({Result.ANSWERED, Result.FAILED})
 
 
 def next_step(result: Result, state: RequestState) -> NextStep:
-    """Returns what follows a try."""
+    """Returns the step that follows an attempt with this result."""
     if result in _FINAL:
         return _FINAL[result]
     if result is Result.ANSWERED and not state.begun:
         return NextStep.PASS_ON
     if state.may_retry and (result in _DID_NOT_RUN or state.repeatable):
         return NextStep.RETRY
-    if result in _WHOLE and not state.begun:
+    if result in _COMPLETE_ANSWERS and not state.begun:
         return NextStep.PASS_ON
     return (NextStep.ANSWER_UNKNOWN
             if state.may_have_run else NextStep.ANSWER_NOT_RUN)
 
 
 def may_have_run(result: Result) -> bool:
-    """Whether a try that ended so may have run the request."""
+    """Whether an attempt with this result may have run the request."""
     return result not in _DID_NOT_RUN
--- a/cardamommill/gateway/streamprogress.py
+++ b/cardamommill/gateway/streamprogress.py
@@ -1,4 +1,4 @@
-"""What a caller has of a stream, and what a try adds to it."""
+"""Tracks which events of a stream its caller has received."""
 
 import enum
 
@@ -6,52 +6,57 @@
 
 
 class EventPosition(enum.Enum):
-    """How an event stands to those that the caller has."""
+    """The position of an event relative to those the caller has."""
 
     NEXT = "next"
-    # A runner that begins anew: the caller has this one.
+    # The caller has it: the runner started the stream from its beginning.
     REPEATED = "repeated"
-    # Something is missing before it.
+    # Events before it are missing.
     GAP = "gap"
 
 
 class StreamProgress:
-    """Counts events over all tries of a request.
+    """Counts the events of all attempts of a request.
 
     Attributes:
-        last_event_id: The newest id that the caller has; None where it has no
-            event, or none with an id.
-        events: How many went to the caller here.
-        attempt_events: How many the try has brought, those it had included.
+        last_event_id: The id of the last event that the caller has; None if it
+            has no event, or none with an id.
+        events: The number of events passed to the caller by this node.
+        attempt_events: The number of events of the current attempt, including
+            those that the caller already had.
     """
 
     def __init__(self, last_event_id: int | None) -> None:
-        """Makes it.
+        """Initializes the progress of a request without attempts.
 
         Args:
-            last_event_id: What the caller had before it asked.
+            last_event_id: The last event that the caller had before it sent
+                this request.
         """
         self.last_event_id = last_event_id
         self.events = 0
         self.attempt_events = 0
-        self._try_last_id: int | None = None
+        self._attempt_last_id: int | None = None
 
     def begin_attempt(self) -> None:
-        """Notes that another try begins."""
+        """Resets the state of the current attempt for a new one."""
         self.attempt_events = 0
-        self._try_last_id = None
+        self._attempt_last_id = None
 
     @property
     def is_replaying(self) -> bool:
-        """Whether the try has not come up to what the caller has."""
-        return (self._try_last_id is not None and
-                self._try_last_id < (self.last_event_id or 0))
+        """Whether the attempt has not yet reached the caller's last event."""
+        return (self._attempt_last_id is not None and
+                self._attempt_last_id < (self.last_event_id or 0))
 
     def record(self, event: eventparser.Event) -> EventPosition:
-        """Takes an event of the try; only the next one goes on."""
+        """Counts an event of the attempt and returns its position.
+
+        Only an event with the position NEXT may be passed to the caller.
+        """
         self.attempt_events += 1
         if event.id is not None:
-            self._try_last_id = event.id
+            self._attempt_last_id = event.id
             if self.last_event_id is not None:
                 if event.id <= self.last_event_id:
                     return EventPosition.REPEATED
--- a/cardamommill/gateway/upstream.py
+++ b/cardamommill/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to runners and to the platform: one answer at a time on each."""
+"""HTTP connections to runners and the platform, one request at a time each."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,65 +13,66 @@
 from cardamommill import logs
 from cardamommill.gateway import clock, httpheaders
 
-# A connection that answers within a data centre or two answers in a few ms;
-# an opening packet that was dropped is sent again after 1 s.
+# A connection is established within a few ms, also between two data centres. A
+# lost SYN is retransmitted only after 1 s, so an attempt to connect that takes
+# longer than this is abandoned.
 CONNECT_TIMEOUT_MS = 400
-# Unanswered bytes on a connection: a peer without power is found by this even
-# where nobody waits for an answer.
+# Passed to TCP_USER_TIMEOUT, the limit for unacknowledged bytes: it detects a
+# peer that lost power even while no request waits for an answer.
 USER_TIMEOUT_MS = 2500
-# Idle connections go this long before the peer's own time-out, so that a
-# request rarely crosses the peer's close.
+# Idle connections are closed this long before the peer's keep-alive timeout, so
+# that a request is rarely sent just as the peer closes the connection.
 KEEP_ALIVE_MARGIN_MS = 700
-# For peers that name no time-out.
+# For peers that announce no keep-alive timeout.
 DEFAULT_KEEP_ALIVE_MS = 3000
 
 _LOG = logbook.Logger("upstream")
 
 
 class Ending(enum.Enum):
-    """How an exchange ended, as far as the connection can tell."""
+    """How an exchange ended, as seen by its connection."""
 
     COMPLETE = "complete"
-    # Nothing left this node: the peer can't have run it.
+    # No byte left this node, so the peer cannot have run the request.
     NOT_SENT = "not-sent"
-    # The peer closed or reset.
+    # The peer closed or reset the connection.
     BROKEN = "broken"
-    # The peer sent what is no HTTP.
+    # The peer sent bytes that are not valid HTTP.
     NOT_HTTP = "not-http"
-    # This side gave up.
+    # This node cancelled the exchange.
     CANCELLED = "cancelled"
 
 
 @dataclasses.dataclass(slots=True)
 class Head:
-    """An answer's status and headers, names as sent."""
+    """Status and headers of an answer; header names keep their case."""
 
     status: int = 0
     headers: list[tuple[str, str]] = dataclasses.field(default_factory=list)
 
     def get(self, name: str) -> str | None:
-        """Returns the first header of a name, whatever its case."""
+        """Returns the first header of a name, ignoring case."""
         return httpheaders.first_value(self.headers, name)
 
 
 class Receiver(Protocol):
-    """Who takes an answer as it arrives."""
+    """Callbacks for an answer as it arrives."""
 
     def on_head(self, head: Head) -> bool:
-        """Takes a head; False skips this answer as nobody's."""
+        """Takes a head; returns False to skip an answer to another request."""
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Takes a part of the body."""
 
     def on_end(self, ending: Ending, reason: str) -> None:
-        """Takes the end; called once."""
+        """Takes the end of the exchange; called once."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection; httptools calls its ``on_...`` methods.
+    """A connection to a peer; httptools calls its ``on_...`` methods.
 
-    Bytes after a complete answer belong to no request: the connection is
-    closed, or else a later request would get them as its answer.
+    Bytes after a complete answer belong to no request. They close the
+    connection: the next request on it would get them as its answer.
     """
 
     def __init__(self, on_idle: Callable[["Connection"], None]) -> None:
@@ -80,45 +81,48 @@
         self._parser: Any = None
         self._receiver: Receiver | None = None
         self._head = Head()
-        self._skipping = False
+        self._is_skipping = False
         self._has_head = False
-        self._in_head = True
-        self._framed = False
-        self._tainted = False
-        self._informational = False
-        self.idle_until_ms = 0.0
+        self._is_in_head = True
+        self._has_body_end = False
+        self._must_close = False
+        self._is_informational = False
+        self.reusable_until_ms = 0.0
 
     @property
-    def usable(self) -> bool:
-        """Whether a request may be sent on it."""
+    def is_usable(self) -> bool:
+        """Whether the connection is open, idle and not about to time out."""
         return (self._transport is not None and
                 not self._transport.is_closing() and self._receiver is None and
-                clock.now_ms() < self.idle_until_ms)
+                clock.now_ms() < self.reusable_until_ms)
 
     def send(self, request: bytes, receiver: Receiver) -> None:
-        """Sends a request; the receiver gets its answer."""
+        """Sends a request and passes its answer to the receiver."""
         self._receiver = receiver
         self._parser = httptools.HttpResponseParser(self)
         self._has_head = False
-        self._tainted = False
+        self._must_close = False
         transport = self._transport
         if transport is not None and not transport.is_closing():
             transport.write(request)
-        # Lost by now, it was held to its end, or said to have run. Writes close
-        # only if their first send failed, which took nothing.
+        # A connection that is already closed, or closed during this write, took
+        # no byte: a write closes it only if its first send failed. Without this
+        # check the request waited until its deadline or was reported as one
+        # that may have run.
         if transport is None or transport.is_closing():
             self._finish(Ending.NOT_SENT, "closed before it was sent")
 
     def cancel(self, receiver: Receiver) -> None:
-        """Closes the connection if this receiver waits on it.
+        """Closes the connection if it still serves this receiver.
 
-        Closed for an exchange that had ended, it took the next one with it.
+        The exchange may have ended, and the connection serve the next one,
+        which a close would break.
         """
         if self._receiver is receiver:
             self.close()
 
     def close(self) -> None:
-        """Ends the exchange, if one is under way, and the connection."""
+        """Closes the connection and cancels the exchange on it, if any."""
         if self._transport is not None:
             self._transport.abort()
         self._finish(Ending.CANCELLED, "cancelled")
@@ -126,7 +130,7 @@
     # asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes the transport; see asyncio.Protocol."""
+        """Configures the socket; see asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         raw = transport.get_extra_info("socket")
@@ -134,41 +138,43 @@
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT,
                            USER_TIMEOUT_MS)
-        self.idle_until_ms = clock.now_ms() + DEFAULT_KEEP_ALIVE_MS
+        self.reusable_until_ms = clock.now_ms() + DEFAULT_KEEP_ALIVE_MS
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrived; see asyncio.Protocol."""
+        """Parses received bytes; see asyncio.Protocol."""
         if self._receiver is None:
-            # Nobody waits: an answer too many.
-            self._tell_unasked(len(data))
-            self._drop()
+            # No request is in progress, so this is an unexpected answer.
+            self._log_unexpected_answer(len(data))
+            self._abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError:
-            # What takes the answer failed: not the peer's fault.
+            # The receiver raised an exception: a fault of this node, not of the
+            # peer.
             _LOG.exception(logs.line("answer-not-taken"))
-            self._drop()
+            self._abort()
             self._finish(Ending.BROKEN, "a fault of this node")
             return
         except (httptools.HttpParserError,
                 httptools.HttpParserUpgrade) as error:
-            self._drop()
+            self._abort()
             self._finish(Ending.NOT_HTTP, f"no HTTP: {type(error).__name__}")
             return
         if self._receiver is None:
-            # Only now is it known that no bytes came after the answer.
-            if self._tainted:
-                self._drop()
+            # Only after parsing all received bytes is it known that none came
+            # after the answer.
+            if self._must_close:
+                self._abort()
             else:
                 self._on_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends the exchange; see asyncio.Protocol."""
         self._transport = None
-        # An answer without a length ends with its connection, but one that
-        # was reset on the way is not complete.
-        if exc is None and self._has_head and not self._framed:
+        # An answer without a length ends with its connection. It is incomplete
+        # if the connection was reset.
+        if exc is None and self._has_head and not self._has_body_end:
             self._finish(Ending.COMPLETE, "")
         else:
             self._finish(Ending.BROKEN, f"closed: {exc or 'end of stream'}")
@@ -176,61 +182,62 @@
     # httptools.
 
     def on_message_begin(self) -> None:
-        """Begins an answer; see httptools."""
+        """Resets the state for a new answer; see httptools."""
         if self._receiver is None:
-            self._tell_unasked(0)
-            self._tainted = True
+            self._log_unexpected_answer(0)
+            self._must_close = True
         self._head = Head()
-        self._in_head = True
+        self._is_in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header; see httptools."""
-        if not self._in_head:
-            # Behind a body: its receiver has the head already.
+        """Collects a header; see httptools."""
+        if not self._is_in_head:
+            # Trailers are ignored: the receiver already has the head.
             return
         self._head.headers.append(
             (name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Hands over the head; see httptools."""
-        self._in_head = False
+        """Passes the head to the receiver; see httptools."""
+        self._is_in_head = False
         if self._receiver is None:
             return
         self._head.status = self._parser.get_status_code()
-        self._informational = self._head.status < 200
-        if self._informational:
+        self._is_informational = self._head.status < 200
+        if self._is_informational:
             return
-        self._framed = any(
-            _frames(name.lower(), value.lower())
+        self._has_body_end = any(
+            _delimits_body(name.lower(), value.lower())
             for name, value in self._head.headers)
-        self._skipping = not self._receiver.on_head(self._head)
-        self._has_head = not self._skipping
-        self._tainted = self._tainted or self._skipping
+        self._is_skipping = not self._receiver.on_head(self._head)
+        self._has_head = not self._is_skipping
+        self._must_close = self._must_close or self._is_skipping
 
     def on_body(self, data: bytes) -> None:
-        """Hands over a piece; see httptools."""
+        """Passes a part of the body to the receiver; see httptools."""
         if self._receiver is not None and self._has_head:
             self._receiver.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Ends the answer; see httptools."""
-        if self._receiver is None or self._informational:
+        """Ends the exchange; see httptools."""
+        if self._receiver is None or self._is_informational:
             return
-        if self._skipping:
-            self._skipping = False
+        if self._is_skipping:
+            self._is_skipping = False
             return
-        self._settle_reuse()
+        self._decide_reuse()
         self._finish(Ending.COMPLETE, "")
 
-    def _settle_reuse(self) -> None:
+    def _decide_reuse(self) -> None:
         transport = self._transport
-        # A request that is still being sent while its answer is complete: the
-        # peer reads on, and other bytes would be taken for the body's rest.
+        # The answer may be complete while the request is still being sent. The
+        # peer continues to read its body and would take the next request's
+        # bytes for the rest of it.
         unsent = transport is None or transport.get_write_buffer_size() > 0
         if unsent or not self._parser.should_keep_alive():
-            self._tainted = True
+            self._must_close = True
         timeout = _keep_alive_ms(self._head)
-        self.idle_until_ms = clock.now_ms() + timeout - KEEP_ALIVE_MARGIN_MS
+        self.reusable_until_ms = clock.now_ms() + timeout - KEEP_ALIVE_MARGIN_MS
 
     def _finish(self, ending: Ending, reason: str) -> None:
         receiver, self._receiver = self._receiver, None
@@ -238,7 +245,7 @@
             return
         receiver.on_end(ending, reason)
 
-    def _tell_unasked(self, count: int) -> None:
+    def _log_unexpected_answer(self, count: int) -> None:
         transport = self._transport
         peer = transport.get_extra_info("peername") if transport else None
         _LOG.warning(
@@ -246,14 +253,14 @@
                       peer=":".join(map(str, peer or ())),
                       bytes=count or ""))
 
-    def _drop(self) -> None:
-        self._tainted = True
+    def _abort(self) -> None:
+        self._must_close = True
         if self._transport is not None:
             self._transport.abort()
 
 
-def _frames(name: str, value: str) -> bool:
-    """Whether a header says where the answer ends."""
+def _delimits_body(name: str, value: str) -> bool:
+    """Whether a header determines where the body ends."""
     return name == "content-length" or (name == "transfer-encoding" and
                                         "chunked" in value)
 
@@ -271,7 +278,7 @@
 
 
 class Pool:
-    """Kept connections to peers; a context manager that closes them all."""
+    """A pool of connections to peers; closes them all on exit."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[Connection]] = {}
@@ -293,18 +300,20 @@
              request: bytes,
              receiver: Receiver,
              new_connection: bool = False) -> "Exchange":
-        """Sends a request; returns what can cancel it.
+        """Sends a request and returns its exchange, which can be cancelled.
 
         Args:
-            address: The peer.
-            request: Head and body.
-            receiver: Who takes the answer.
-            new_connection: Whether a kept connection won't do; the new one is
-                not kept.
+            address: Host and port of the peer.
+            request: Head and body, encoded.
+            receiver: Takes the answer.
+            new_connection: Whether to open a connection for this request only
+                instead of reusing an idle one; it is closed afterwards.
         """
         exchange = Exchange(receiver)
-        connection = None if new_connection else self._take(address)
-        # Kept though none takes them, they made a runner reset the next one.
+        connection = None if new_connection else self._take_idle(address)
+        # A connection opened for one request is not pooled: the next such
+        # request opens its own, so idle ones accumulated up to the runner's
+        # connection limit, and the runner reset further ones.
         on_idle = Connection.close if new_connection else (
             lambda one: self._idle.setdefault(address, []).append(one))
         if connection is not None:
@@ -318,17 +327,17 @@
         return exchange
 
     def idle_count(self) -> int:
-        """Returns how many connections stand idle."""
+        """Returns the number of idle connections."""
         return sum(map(len, self._idle.values()))
 
     def has_idle(self, address: Address) -> bool:
-        """Whether a request to a peer needs no new connection."""
-        return any(each.usable for each in self._idle.get(address, ()))
+        """Whether a request to a peer can reuse an idle connection."""
+        return any(each.is_usable for each in self._idle.get(address, ()))
 
     def close_expired(self) -> None:
-        """Closes what has been idle for too long."""
+        """Closes idle connections that can no longer be reused."""
         for address, connections in list(self._idle.items()):
-            kept = [each for each in connections if each.usable]
+            kept = [each for each in connections if each.is_usable]
             for connection in connections:
                 if connection not in kept:
                     connection.close()
@@ -337,11 +346,11 @@
             else:
                 del self._idle[address]
 
-    def _take(self, address: Address) -> Connection | None:
+    def _take_idle(self, address: Address) -> Connection | None:
         connections = self._idle.get(address, [])
         while connections:
             connection = connections.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
             connection.close()
         return None
@@ -367,7 +376,7 @@
 
 
 class Exchange:
-    """A request that is under way."""
+    """A request in progress and its answer."""
 
     def __init__(self, receiver: Receiver) -> None:
         self.connection: Connection | None = None
@@ -376,11 +385,11 @@
 
     @property
     def sent(self) -> bool:
-        """Whether bytes of it left this node."""
+        """Whether the request was handed to a connection."""
         return self.connection is not None
 
     def cancel(self) -> None:
-        """Gives up; the receiver hears nothing if nothing was sent."""
+        """Cancels the request; the receiver is called only if it was sent."""
         self.cancelled = True
         if self.connection is not None:
             self.connection.cancel(self._receiver)
