--- a/tests/gateway/exchanges.py
+++ b/tests/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""Runs code in simulated time against peers that answer given bytes."""
+"""Runs code in simulated time against a peer that answers given bytes."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 
 
 class Peer(asyncio.Protocol):
-    """Answers each request with the next of the given texts."""
+    """Answers each request with the next of the given byte strings."""
 
-    def __init__(self, answers, requests, then):
+    def __init__(self, answers, requests, after_answer):
         self._answers = answers
         self._requests = requests
-        self._then = then
+        self._then = after_answer
 
     def connection_made(self, transport):
         self._transport = transport
@@ -29,16 +29,28 @@
             self._transport.close()
 
 
-def run(work, answers, then="", seed=1):
-    """Returns what the coroutine function gives, and what the peer got."""
+def run(script, answers, after_answer="", seed=1):
+    """Runs a script with a connection pool and a peer.
+
+    Args:
+        script: A coroutine function that is called with the pool.
+        answers: What the peer answers, one for each received block of bytes.
+        after_answer: What the peer then does with its connection: "reset",
+            "close" or nothing.
+        seed: The seed of the simulated network.
+
+    Returns:
+        The result of the script, and the requests that the peer received.
+    """
     requests = []
-    left = list(answers)
+    remaining = list(answers)
 
     async def main():
         loop = asyncio.get_running_loop()
-        await loop.create_server(lambda: Peer(left, requests, then), *ADDRESS)
+        await loop.create_server(
+            lambda: Peer(remaining, requests, after_answer), *ADDRESS)
         with upstream.Pool() as pool:
-            return await work(pool)
+            return await script(pool)
 
     with virtualloop.running(seed) as loop:
         return loop.run_until_complete(main()), requests
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what answers of runners are taken for."""
+"""Tests of how answers of runners are classified."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class Sink:
-    """Keeps the ids of events."""
+    """Records the ids of events."""
 
     def __init__(self):
         self.events = []
@@ -40,38 +40,39 @@
         return True
 
 
-def attempt(*answers, streaming=False, then="", give_up_ms=1000):
+def attempt(*answers, streaming=False, after_answer="", cancel_ms=1000):
     sink = Sink()
 
-    async def work(pool):
+    async def script(pool):
         one = attempts.Attempt("a1", streaming, sink)
         one.exchange = pool.send(exchanges.ADDRESS, b"GET / HTTP/1.1\r\n\r\n",
                                  one)
-        asyncio.get_running_loop().call_later(give_up_ms / 1000, one.cancel,
+        asyncio.get_running_loop().call_later(cancel_ms / 1000, one.cancel,
                                               attempts.Result.TIMED_OUT, "late")
         outcome = await one.done
         await asyncio.sleep(0.01)
         return outcome, pool.idle_count()
 
-    (outcome, idle), _ = exchanges.run(work, answers, then)
+    (outcome, idle), _ = exchanges.run(script, answers, after_answer)
     return outcome, idle, sink.events
 
 
-def test_whole_answer_is_passed_on_and_its_connection_kept():
+def test_complete_answer_is_passed_on_and_its_connection_pooled():
     outcome, idle, _ = attempt(answer())
     assert outcome.result is attempts.Result.ANSWERED
     assert outcome.body == b"yes" and idle == 1
 
 
 def test_answer_of_another_request_is_skipped():
-    # A runner gives an answer twice; the second one arrives where the next
-    # is due. Its id tells whose it is.
+    # A runner sends an answer twice, and the second one arrives where the
+    # answer to the next request is due. Its id shows that it is not for this
+    # request.
     outcome, idle, _ = attempt(answer(headers=OTHER, body="no") + answer())
     assert outcome.body == b"yes"
     assert idle == 0
 
 
-def test_bytes_after_the_answer_end_the_connection():
+def test_bytes_after_the_answer_close_the_connection():
     outcome, idle, _ = attempt(answer() + answer(headers=OTHER, body="no"))
     assert outcome.body == b"yes"
     assert idle == 0
@@ -84,50 +85,51 @@
     answer(headers=OWN + "Content-Encoding: gzip\r\n"),
     answer("500 Internal Server Error", headers=""),
 ])
-def test_what_is_not_the_runners_answer_counts_as_none(text):
+def test_invalid_or_foreign_answer_counts_as_none(text):
     outcome, _, _ = attempt(text)
     assert outcome.result is attempts.Result.BROKEN
 
 
-def test_runner_that_says_not_run_is_believed():
+def test_runner_that_reports_not_executed_is_trusted():
     outcome, _, _ = attempt(
         answer("503 Service Unavailable", f"{words.NOT_EXECUTED}: 1\r\n", ""))
     assert outcome.result is attempts.Result.NOT_RUN
 
 
-def test_answer_without_length_is_whole_only_if_it_ends_without_a_reset():
+def test_answer_without_length_is_complete_unless_reset():
     text = f"HTTP/1.1 200 OK\r\n{OWN}\r\nyes".encode()
-    assert attempt(text, then="close")[0].body == b"yes"
-    assert attempt(text, then="reset")[0].result is attempts.Result.BROKEN
+    assert attempt(text, after_answer="close")[0].body == b"yes"
+    assert attempt(text,
+                   after_answer="reset")[0].result is attempts.Result.BROKEN
 
 
-def test_cut_answer_is_none():
-    outcome, _, _ = attempt(answer(body="yes")[:-1], then="close")
+def test_truncated_answer_is_broken():
+    outcome, _, _ = attempt(answer(body="yes")[:-1], after_answer="close")
     assert outcome.result is attempts.Result.BROKEN
 
 
-def test_stream_is_passed_on_event_by_event():
+def test_stream_is_passed_on_by_events():
     outcome, _, events = attempt(stream("id: 1\ndata: a\n\n",
                                         "id: 2\ndata: b\n\n"),
                                  streaming=True)
     assert outcome.result is attempts.Result.STREAMED and events == [1, 2]
 
 
-def test_part_of_an_event_is_not_passed_on():
+def test_partial_event_is_not_passed_on():
     outcome, _, events = attempt(stream("id: 1\ndata: a\n\n", "id: 2\nda"),
                                  streaming=True)
     assert outcome.result is attempts.Result.BROKEN and events == [1]
 
 
-def test_stream_without_its_last_chunk_is_not_whole():
+def test_stream_without_its_last_chunk_is_incomplete():
     outcome, _, _ = attempt(stream("id: 1\ndata: a\n\n", end=False),
                             streaming=True,
-                            then="close")
+                            after_answer="close")
     assert outcome.result is attempts.Result.BROKEN
 
 
-def test_runner_that_says_nothing_is_given_up():
-    outcome, _, _ = attempt(b"", give_up_ms=300)
+def test_runner_that_does_not_answer_times_out():
+    outcome, _, _ = attempt(b"", cancel_ms=300)
     assert outcome.result is attempts.Result.TIMED_OUT
 
 
@@ -135,11 +137,11 @@
     ((answer(headers=OTHER) + answer(),), "event=answer-skipped"),
     ((answer() + answer(headers=OTHER),), "event=answer-unasked"),
 ])
-def test_answer_too_many_is_told(answers, event):
-    """A runner answers twice; the second answer belongs to nobody.
+def test_unexpected_answer_is_logged(answers, event):
+    """A runner answers twice; the second answer belongs to no request.
 
-    Nothing told of it: whether a caller's wrong bytes came from a runner that
-    answers twice could not be seen in the logs.
+    Without a log line it cannot be seen whether wrong bytes at a caller came
+    from a runner that answers twice.
     """
     with logbook.TestHandler() as handler:
         outcome, idle, _ = attempt(*answers)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections."""
+"""Tests of the HTTP server for callers."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Client(asyncio.Protocol):
-    """Keeps what it is sent."""
+    """A client that records what it receives."""
 
     def __init__(self):
         self.got = b""
@@ -29,7 +29,7 @@
         self.closed = True
 
 
-def play(script, handler):
+def run_script(script, handler):
     refused = []
 
     async def main():
@@ -61,15 +61,15 @@
     return script
 
 
-def test_requests_on_one_connection_are_answered_in_turn():
-    client, _ = play(send(GET + GET.replace(b"/x", b"/y")), echo)
+def test_pipelined_requests_are_answered_in_order():
+    client, _ = run_script(send(GET + GET.replace(b"/x", b"/y")), echo)
     assert client.got.index(b"GET /x") < client.got.index(b"GET /y")
 
 
-def test_body_in_chunks_is_put_together():
+def test_chunked_body_is_decoded():
     request = (b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked"
                b"\r\n\r\n3\r\nabc\r\n", b"2\r\nde\r\n0\r\n\r\n")
-    client, _ = play(send(*request), echo)
+    client, _ = run_script(send(*request), echo)
     assert b"POST /x abcde" in client.got
 
 
@@ -80,20 +80,20 @@
      b"\r\n\r\nabc", 400),
     (b"nonsense\r\n\r\n", 400),
 ])
-def test_what_is_over_a_limit_or_no_request_is_refused(text, status):
-    client, refused = play(send(text), echo)
+def test_oversized_or_malformed_request_is_refused(text, status):
+    client, refused = run_script(send(text), echo)
     assert client.got.startswith(f"HTTP/1.1 {status}".encode())
     assert refused == [status]
 
 
-def test_request_smuggled_behind_a_refused_one_is_not_served():
+def test_request_smuggled_after_a_refused_one_is_not_served():
     text = (b"POST /x HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: "
             b"chunked\r\n\r\n0\r\n\r\n" + GET)
-    client, _ = play(send(text), echo)
+    client, _ = run_script(send(text), echo)
     assert client.got.count(b"HTTP/1.1") == 1
 
 
-def test_caller_that_leaves_is_told_to_whoever_answers():
+def test_handler_is_notified_when_the_caller_disconnects():
     left = []
 
     class Serving:
@@ -108,12 +108,16 @@
         client.transport.close()
         await asyncio.sleep(0.1)
 
-    play(script, lambda request, reply: Serving())
+    run_script(script, lambda request, reply: Serving())
     assert left == [True]
 
 
-def test_caller_that_closes_is_told_of_in_the_same_turn_of_the_loop():
-    """The end of a run, read next, would have the request go on elsewhere."""
+def test_disconnect_is_reported_in_the_same_iteration_of_the_loop():
+    """The end of an attempt may be read next, in the same iteration.
+
+    If the disconnect were reported only later, the request would be retried at
+    another runner, although its caller has gone.
+    """
     left = []
 
     class Serving:
@@ -128,11 +132,11 @@
         assert not connection.eof_received()
         assert left == [True]
 
-    play(script, lambda request, reply: Serving())
+    run_script(script, lambda request, reply: Serving())
     assert left == [True]
 
 
-def test_answer_that_is_broken_off_does_not_look_whole():
+def test_aborted_answer_is_seen_as_incomplete():
 
     def handler(request, reply):
         del request
@@ -140,11 +144,11 @@
         reply.write(b"part")
         reply.abort()
 
-    client, _ = play(send(GET), handler)
+    client, _ = run_script(send(GET), handler)
     assert b"0\r\n\r\n" not in client.got and client.closed
 
 
-def test_slow_head_is_timed_out_and_idle_connection_closed():
+def test_slow_head_times_out():
 
     async def script(client, server):
         client.transport.write(b"GET /x HTTP/1.1\r\n")
@@ -152,16 +156,16 @@
         server.enforce_timeouts(clock.now_ms())
         await asyncio.sleep(0.1)
 
-    client, _ = play(script, echo)
+    client, _ = run_script(script, echo)
     assert client.got.startswith(b"HTTP/1.1 408")
 
 
-def test_connection_ends_after_its_answer_while_stopping():
+def test_connection_closes_after_its_answer_while_stopping():
 
     async def script(client, server):
         server.stop()
         client.transport.write(GET)
         await asyncio.sleep(0.1)
 
-    client, _ = play(script, echo)
+    client, _ = run_script(script, echo)
     assert b"Connection: close" in client.got and client.closed
--- a/tests/gateway/test_misdelivered_bytes.py
+++ b/tests/gateway/test_misdelivered_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes and ends that go to somebody else, on both sides of a node."""
+"""Tests that bytes and ends of an exchange never reach another one."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
                   b"Content-Length: 3\r\n\r\n")
 
 
-class Taker:
-    """Takes one answer of a runner."""
+class RecordingReceiver:
+    """Records the ends of an exchange."""
 
     def __init__(self):
         self.ends = []
@@ -33,15 +33,14 @@
         self.ends.append(ending)
 
 
-# Callers' connections.
+# Connections of callers.
 
 
 def test_continue_is_not_written_into_a_stream():
-    """A caller sends its next request while its stream goes on.
+    """A caller sends a request that expects "100 Continue" during a stream.
 
-    The next one's head asks for "100 Continue". The connection writes it at
-    once, past the reply that has begun: the caller reads "HTTP/1.1 100" where
-    a chunk's length is due, as with a whole failure behind events.
+    If the connection sent the "100 Continue" at once, the caller would read
+    "HTTP/1.1 100" where a chunk length of the stream is due.
     """
     streams = []
 
@@ -61,12 +60,12 @@
         streams[0].end()
         await asyncio.sleep(0.01)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     end = client.got.index(b"0\r\n\r\n") + len(b"0\r\n\r\n")
     assert Parsed(client.got[:end]).body == b"onetwo"
 
 
-def _answer_again(reply):
+def _send_again(reply):
     reply.send(500, [], b"late")
 
 
@@ -74,13 +73,13 @@
     raise RuntimeError(f"own fault after {reply}")
 
 
-@pytest.mark.parametrize("fault", [_answer_again, _fail])
-def test_fault_of_whoever_answers_adds_no_answer(fault):
-    """Whoever answers takes a step too many, or fails, after a whole answer.
+@pytest.mark.parametrize("fault", [_send_again, _fail])
+def test_fault_of_a_handler_adds_no_answer(fault):
+    """A handler raises an exception after a complete answer.
 
-    It is called by the parser, which turns what it raises into an error of
-    the request. The connection takes that for a malformed request and writes
-    a 400 behind the answer, to a caller that waits for nothing.
+    It is called from within the parser, which reports the exception as an error
+    of the request. The connection took that for a malformed request and sent a
+    400 after the answer.
     """
 
     def handler(request, reply):
@@ -88,17 +87,17 @@
         reply.send(200, [], b"own")
         fault(reply)
 
-    client, _ = test_callers.play(test_callers.send(test_callers.GET), handler)
+    client, _ = test_callers.run_script(test_callers.send(test_callers.GET),
+                                        handler)
     assert client.got.count(b"HTTP/1.1 ") == 1
 
 
-def test_refusal_does_not_overtake_the_answer_of_a_request_that_waits():
-    """Two requests on one connection, then bytes that are no request.
+def test_refusal_does_not_overtake_the_answer_to_a_queued_request():
+    """Malformed bytes arrive between two answers on one connection.
 
-    They come between the end of the first answer and the moment at which the
-    second request is taken up. The connection is not busy then and writes its
-    400 at once: the second request's caller takes that for its answer, and its
-    own comes behind it.
+    The first answer is complete, and the second request is queued but not yet
+    handled. If the connection sent the 400 at once, the caller would read it as
+    the answer to the second request.
     """
     waiting, connections = [], []
 
@@ -116,16 +115,15 @@
             waiting[1][1].send(200, [], b"two")
         await asyncio.sleep(0.01)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     assert b"400" not in client.got or b"two" not in client.got
 
 
-def test_nothing_follows_an_answer_that_said_close():
-    """A caller has sent two requests on one connection when the node stops.
+def test_nothing_is_sent_after_an_answer_that_announced_close():
+    """A node stops while two requests are pipelined on a connection.
 
-    The first answer says that the connection closes behind it; the second
-    request is served on it all the same. A strict caller takes what comes for
-    bytes that are no answer.
+    If the first answer announces that the connection closes, the second request
+    must not be answered on it: a strict client rejects further bytes.
     """
     waiting = []
 
@@ -143,15 +141,15 @@
             reply.send(200, [], b"two")
         await asyncio.sleep(0.01)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     Parsed(client.got)
 
 
-def test_trailers_are_no_headers():
-    """A caller's chunked body ends with a field that names a model.
+def test_trailers_are_not_taken_as_headers():
+    """A chunked body ends with a trailer field that names a model.
 
-    The parser hands it over as it does headers, after the head was looked at.
-    The runner gets it as a header, and no limit on heads holds for it.
+    The parser reports trailers like headers, but after the head was checked. As
+    a header the field would reach the runner without any limit on its size.
     """
     got = []
 
@@ -159,7 +157,7 @@
         got.append(request.get(words.MODEL))
         reply.send(200, [], b"")
 
-    test_callers.play(
+    test_callers.run_script(
         test_callers.send(
             b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"1\r\nx\r\n0\r\n" + words.MODEL.encode() + b": other\r\n\r\n"),
@@ -168,11 +166,11 @@
 
 
 def test_large_answer_reaches_a_caller_that_reads():
-    """A whole answer is larger than what may wait for a caller.
+    """A complete answer is larger than the limit for unsent bytes.
 
-    The bound is meant for callers that don't read their stream. What the
-    kernel does not take at once of a whole answer counts against it, and a
-    caller that reads well is cut off; the request is told of as answered.
+    The limit is meant for callers that do not read their stream. When the bytes
+    of the answer itself counted against it, a caller that was reading was
+    disconnected, and the request was logged as answered.
     """
     body = b"x" * (attempts.MAX_ANSWER_BYTES - 1)
 
@@ -197,14 +195,14 @@
     assert asyncio.run(main()) == len(body)
 
 
-# The request between them.
+# Requests and their attempts.
 
 
-def test_request_whose_serving_fails_gets_an_end():
-    """What chooses a group fails while a request is served.
+def test_request_whose_processing_fails_is_ended():
+    """The choice of a group raises an exception.
 
-    Only steps out of order are caught there. The caller gets nothing until it
-    gives up, its connection stays busy, and no end of the request is told.
+    When only `AnswerOutOfOrder` was handled there, the caller got no answer,
+    its connection stayed busy, and the end of the request was not reported.
     """
     node = relays.FakeNode()
 
@@ -213,25 +211,25 @@
 
     node.find_target = fail
 
-    async def work():
+    async def script():
         one = relays.begin(node)
         await asyncio.sleep(0.01)
         return one.reply, node.task.exception()
 
-    reply, _ = asyncio.run(work())
+    reply, _ = asyncio.run(script())
     assert reply.ended and len(node.ends) == 1
 
 
-def test_run_that_begins_anew_and_ends_early_does_not_end_the_stream():
-    """A stream breaks after three events and goes on at another runner.
+def test_replayed_stream_that_ends_early_does_not_end_the_answer():
+    """A stream breaks after three events and resumes at another runner.
 
-    That one begins anew, as some do, gives one event, which the caller has,
-    and ends. It never came to where the caller is, so its end is not the end
-    of the caller's stream.
+    That runner starts from the beginning, sends one event, which the caller
+    already has, and ends. It did not reach the caller's last event, so its end
+    is not the end of the stream.
     """
     node = relays.FakeNode()
 
-    async def work():
+    async def script():
         one = relays.begin(node)
         await asyncio.sleep(0.01)
         first = node.exchanges[0]
@@ -247,18 +245,18 @@
         await asyncio.sleep(0.01)
         return one.reply
 
-    assert asyncio.run(work()).ending != "whole"
+    assert asyncio.run(script()).ending != "whole"
 
 
 def test_events_without_ids_are_not_repeated():
-    """A stream whose events bear no ids breaks, and goes on at another runner.
+    """A stream whose events have no ids breaks.
 
-    Nothing tells that one where to go on, so it begins anew, and the caller
-    gets again what it has.
+    Another runner cannot know where to resume it. It would start from the
+    beginning, and the caller would get the same events again.
     """
     node = relays.FakeNode()
 
-    async def work():
+    async def script():
         one = relays.begin(node)
         await asyncio.sleep(0.01)
         first = node.exchanges[0]
@@ -271,41 +269,40 @@
             second.receiver.on_body(b"data: a\n\n")
         return one.reply
 
-    assert len(asyncio.run(work()).events) == 1
+    assert len(asyncio.run(script()).events) == 1
 
 
-# Runners' connections.
+# Connections to runners.
 
 
-def test_late_answer_of_a_request_is_not_taken_for_an_orders():
-    """A runner answers a request twice, the second time late.
+def test_late_answer_to_a_request_is_not_taken_as_that_to_an_order():
+    """A runner answers a request again while an order uses its connection.
 
-    An order goes out on the same kept connection meanwhile. The late answer
-    bears a request's id, but whoever asks for a node's own sake takes any head
-    for its own: a 200 says that the order is done, and the runner's own 409 is
-    never read.
+    The late answer has the id of a request, which an order has not. When it was
+    taken as the answer to the order, its 200 confirmed the order, and the 409
+    for the order was never read.
     """
     late = test_attempts.answer()
     own = b"HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"
 
-    async def work(pool):
+    async def script(pool):
         return await fetching.fetch(pool, exchanges.ADDRESS,
                                     fetching.request_bytes("POST", "/o", []),
                                     500)
 
-    answer, _ = exchanges.run(work, [late + own])
+    answer, _ = exchanges.run(script, [late + own])
     assert answer.head.status == 409
 
 
-def test_exchange_that_has_ended_does_not_end_the_next_one():
-    """What gave up on an answer does so after the answer came.
+def test_cancelling_an_ended_exchange_does_not_affect_the_next_one():
+    """An exchange is cancelled after its answer arrived.
 
-    Its connection carries the next request by then. It is closed, and the next
-    request's runner is held for broken.
+    Its connection may carry the next request by then. When it was closed, the
+    runner of that request was counted as broken.
     """
 
-    async def work(pool):
-        first, second = Taker(), Taker()
+    async def script(pool):
+        first, second = RecordingReceiver(), RecordingReceiver()
         request = b"GET / HTTP/1.1\r\n\r\n"
         ended = pool.send(exchanges.ADDRESS, request, first)
         await asyncio.sleep(0.05)
@@ -315,21 +312,21 @@
         return first.ends, second.ends
 
     (first, second), _ = exchanges.run(
-        work,
+        script,
         [test_attempts.answer(), test_attempts.answer()])
     assert first == second == [upstream.Ending.COMPLETE]
 
 
-def test_connection_that_is_reset_as_it_opens_ends_the_try():
-    """A runner that has all the connections it takes resets further ones.
+def test_connection_that_is_reset_as_it_opens_ends_the_attempt():
+    """A runner at its connection limit resets a new connection.
 
-    The reset comes after the connection stands and before the request is
-    written, while what waits for the connection has yet to run. An assertion
-    fails, in a task that nobody asks; the request is never told and is held
-    until its time is over, though nothing of it left this node.
+    The reset arrives after the connection is established, before the task that
+    opened it continues and writes the request. An assertion failed in that
+    task unnoticed, and the request waited until its deadline, although no byte
+    of it left the node.
     """
 
-    async def work(pool):
+    async def script(pool):
         loop = asyncio.get_running_loop()
 
         async def connect(factory, *address):
@@ -341,33 +338,33 @@
 
         loop.create_connection = connect
         loop.set_exception_handler(lambda loop, context: None)
-        taker = Taker()
-        pool.send(exchanges.ADDRESS, b"GET / HTTP/1.1\r\n\r\n", taker)
+        receiver = RecordingReceiver()
+        pool.send(exchanges.ADDRESS, b"GET / HTTP/1.1\r\n\r\n", receiver)
         await asyncio.sleep(1)
-        return taker.ends
+        return receiver.ends
 
-    ends, _ = exchanges.run(work, [])
+    ends, _ = exchanges.run(script, [])
     assert ends == [upstream.Ending.NOT_SENT]
 
 
-def test_chunked_answer_whose_coding_stands_in_two_fields_is_not_whole_if_cut():
-    """A runner names its codings in two fields, "gzip" and then "chunked".
+def test_truncated_answer_with_two_transfer_encoding_fields_is_broken():
+    """A runner sends "gzip" and "chunked" in two Transfer-Encoding fields.
 
-    Its answer is cut in good order before the last chunk. Only the first field
-    is read, so the answer counts as one that ends with its connection.
+    Its answer ends without the last chunk and without a reset. When only the
+    first field was read, it counted as an answer that ends with its connection.
     """
     outcome, _, _ = test_attempts.attempt(
         (f"HTTP/1.1 200 OK\r\n{test_attempts.OWN}Transfer-Encoding: gzip\r\n"
          "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n").encode(),
-        then="close")
+        after_answer="close")
     assert outcome.result is attempts.Result.BROKEN
 
 
-def test_fault_of_this_node_is_not_put_down_to_the_runner():
-    """What takes the events of a stream fails, by a fault of this node's.
+def test_fault_of_this_node_is_not_attributed_to_the_runner():
+    """The code that takes the events of a stream raises an exception.
 
-    The parser turns that into an error of its own. The try is told as "no
-    HTTP", the runner is avoided for it, and the fault is told nowhere.
+    The parser turns it into an error of its own. The attempt was reported as
+    "no HTTP", the runner was avoided for it, and the fault was not logged.
     """
 
     class Sink:
@@ -378,12 +375,12 @@
         def on_event(self, head, event):
             raise exceptions.AnswerOutOfOrder("a piece after all of it")
 
-    async def work(pool):
+    async def script(pool):
         one = attempts.Attempt("a1", True, Sink())
         one.exchange = pool.send(exchanges.ADDRESS, b"GET / HTTP/1.1\r\n\r\n",
                                  one)
         return await one.done
 
-    outcome, _ = exchanges.run(work,
+    outcome, _ = exchanges.run(script,
                                [test_attempts.stream("id: 1\ndata: x\n\n")])
     assert "no HTTP" not in outcome.reason
--- a/tests/gateway/test_replies.py
+++ b/tests/gateway/test_replies.py
@@ -1,4 +1,4 @@
-"""What a caller's connection carries, byte by byte, when steps go wrong."""
+"""Tests of the bytes sent to a caller when an answer fails."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class Parsed:
-    """An answer as a strict client reads it; httptools calls ``on_...``."""
+    """An answer as parsed by a strict client; httptools calls ``on_...``."""
 
     def __init__(self, data):
         self.statuses = []
@@ -33,14 +33,14 @@
         self.complete = True
 
 
-def test_failed_resumption_leaves_no_byte_in_a_begun_stream():
-    """A group falls silent after two events; its stream goes on at another.
+def test_failed_resumption_writes_no_byte_into_a_stream():
+    """A group becomes silent after two events of a stream.
 
-    That group's head answers 500 a millisecond later, as it answers whatever
-    it gets. With the failure written behind the events the caller read
-    "HTTP/1.1 500" where a chunk's length was due: no answer in the protocol,
-    2 ms after the 500 in both cases seen. It has to get whole events, then the
-    end of its connection without the end of the answer.
+    The stream resumes at another group, whose head answers 500.
+    The error answer was written after the events, and 2 ms after the 500 the
+    caller read "HTTP/1.1 500" where a chunk length was due. It has to get
+    complete events, then the close of its connection without the end of the
+    answer.
     """
     node = relays.FakeNode()
     begun = []
@@ -63,7 +63,7 @@
         node.exchanges[1].answer(500)
         await asyncio.sleep(0.05)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     parsed = Parsed(client.got)
     assert parsed.statuses == [200]
     assert parsed.body == b"id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
@@ -71,7 +71,7 @@
     assert node.ends[0][1].startswith("broken off")
 
 
-def _whole(reply):
+def _send(reply):
     reply.send(500, [], b"it failed")
 
 
@@ -79,7 +79,7 @@
     reply.start(200, [])
 
 
-def _piece(reply):
+def _write(reply):
     reply.write(b"x")
 
 
@@ -87,27 +87,26 @@
     reply.end()
 
 
-def _break_off(reply):
+def _abort(reply):
     reply.abort()
 
 
 @pytest.mark.parametrize("before,step", [
-    ((_start, _piece), _whole),
-    ((_start, _piece), _start),
-    ((), _piece),
+    ((_start, _write), _send),
+    ((_start, _write), _start),
+    ((), _write),
     ((), _end),
-    ((_whole,), _whole),
-    ((_whole,), _piece),
-    ((_start, _end), _piece),
+    ((_send,), _send),
+    ((_send,), _write),
+    ((_start, _end), _write),
     ((_start, _end), _end),
 ])
-def test_connection_takes_no_step_that_does_not_follow(before, step):
-    """Whoever answers takes a step that can't follow what was sent.
+def test_step_out_of_order_is_not_sent(before, step):
+    """A handler sends a part of an answer that cannot follow the last one.
 
-    A whole answer after events reached a caller as bytes of its stream, since
-    each decision above had to remember what the connection alone knows. The
-    connection takes no such step: an answer that has begun is broken off, one
-    that is complete stays as it was, and the fault is told.
+    A complete answer after events reached a caller as bytes of its stream. Such
+    a part is not sent: an answer that has begun is aborted, a complete one
+    stays as it is, and the fault is raised.
     """
     faults, ended = [], []
 
@@ -126,7 +125,7 @@
         client.transport.write(test_callers.GET)
         await asyncio.sleep(0.05)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     was_complete = ended[0]
     assert client.closed is not was_complete
     assert client.got.count(b"HTTP/1.1 ") == bool(before)
@@ -138,11 +137,11 @@
     assert [each.step for each in faults] == ["answer"]
 
 
-def test_fault_after_a_complete_answer_leaves_the_next_one_alone():
-    """A late step of the first request comes while the second is answered.
+def test_fault_after_a_complete_answer_does_not_affect_the_next_one():
+    """The handler of a request writes after its end, during the next answer.
 
-    Both share a connection. Broken off for the first's fault, the second's
-    caller would lose an answer that was coming.
+    Both requests share a connection. If the fault aborted it, the second
+    request would lose its answer.
     """
     replies = []
 
@@ -157,14 +156,14 @@
         await asyncio.sleep(0.01)
         replies[0].end()
         await asyncio.sleep(0.01)
-        for step in (_piece, _end, _whole, _break_off):
+        for step in (_write, _end, _send, _abort):
             with contextlib.suppress(exceptions.CardamommillError):
                 step(replies[0])
         replies[1].write(b"own")
         replies[1].end()
         await asyncio.sleep(0.01)
 
-    client, _ = test_callers.play(script, handler)
+    client, _ = test_callers.run_script(script, handler)
     assert not client.closed
     assert client.got.count(b"HTTP/1.1 ") == 2
     assert client.got.endswith(b"3\r\nown\r\n0\r\n\r\n")
--- a/tests/gateway/test_retrydecision.py
+++ b/tests/gateway/test_retrydecision.py
@@ -1,4 +1,4 @@
-"""Tests of what follows a try."""
+"""Tests of the decision that follows an attempt."""
 
 import itertools
 
@@ -11,7 +11,7 @@
            } == {Result.NOT_RUN, Result.UNSENT}
 
 
-def test_request_that_may_have_run_is_never_said_not_to_have():
+def test_request_that_may_have_run_is_never_answered_as_not_run():
     for result, repeatable, elsewhere in itertools.product(
             Result, (True, False), (True, False)):
         ran = retrydecision.may_have_run(result)
@@ -20,7 +20,7 @@
         assert not (ran and step is retrydecision.NextStep.ANSWER_NOT_RUN)
 
 
-def test_request_that_may_run_once_goes_elsewhere_only_if_it_did_not_run():
+def test_request_that_may_run_once_is_retried_only_if_it_did_not_run():
     for result in Result:
         step = retrydecision.next_step(
             result, retrydecision.RequestState(False, False, True))
@@ -28,13 +28,13 @@
             assert result in (Result.NOT_RUN, Result.UNSENT)
 
 
-def test_refusal_after_an_earlier_try_that_may_have_run_promises_nothing():
+def test_refusal_after_an_attempt_that_may_have_run_is_answered_as_unknown():
     state = retrydecision.RequestState(True, True, False)
     assert retrydecision.next_step(
         Result.NOT_RUN, state) is retrydecision.NextStep.ANSWER_UNKNOWN
 
 
-def test_repeatable_request_goes_on_elsewhere():
+def test_repeatable_request_is_retried():
     state = retrydecision.RequestState(True, True, True)
     for result in (Result.BROKEN, Result.DIVERTED, Result.NOT_RUN):
         assert retrydecision.next_step(result,
--- a/tests/gateway/test_streamprogress.py
+++ b/tests/gateway/test_streamprogress.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller has of a stream."""
+"""Tests of the progress of a stream."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     return eventparser.Event(b"data: x\n\n", number)
 
 
-def test_events_go_on_one_after_the_other():
+def test_consecutive_events_are_next():
     progress = streamprogress.StreamProgress(None)
     assert [progress.record(event(each)) for each in (1, 2)
            ] == 2 * [EventPosition.NEXT]
@@ -20,13 +20,13 @@
 @pytest.mark.parametrize("number,order", [(4, EventPosition.REPEATED),
                                           (5, EventPosition.NEXT),
                                           (6, EventPosition.GAP)])
-def test_try_goes_on_where_the_caller_stands(number, order):
+def test_attempt_continues_after_the_last_event_of_the_caller(number, order):
     progress = streamprogress.StreamProgress(4)
     assert progress.record(event(number)) is order
     assert progress.events == (order is EventPosition.NEXT)
 
 
-def test_run_that_begins_anew_is_behind_until_it_has_caught_up():
+def test_attempt_from_the_beginning_replays_until_it_has_caught_up():
     progress = streamprogress.StreamProgress(None)
     progress.record(event(1))
     progress.record(event(2))
@@ -38,7 +38,7 @@
     assert not progress.is_replaying
 
 
-def test_events_without_an_id_go_on():
+def test_event_without_an_id_is_next():
     progress = streamprogress.StreamProgress(None)
     assert progress.record(event(None)) is EventPosition.NEXT
     assert progress.last_event_id is None
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -8,18 +8,18 @@
 from cardamommill.gateway import clock, fetching, upstream
 
 ADDRESS = ("10.9.0.1", 8080)
-CAP = 5
+CONNECTION_LIMIT = 5
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class CappedRunner(asyncio.Protocol):
-    """Takes a few connections at a time and resets those beyond."""
+class LimitedRunner(asyncio.Protocol):
+    """A runner that resets connections above its limit."""
 
-    open_now: set["CappedRunner"] = set()
+    open_now: set["LimitedRunner"] = set()
 
     def connection_made(self, transport):
         self._transport = transport
-        if len(self.open_now) >= CAP:
+        if len(self.open_now) >= CONNECTION_LIMIT:
             transport.abort()
             return
         self.open_now.add(self)
@@ -34,12 +34,12 @@
 
 
 def run(script):
-    """Plays a script with a pool beside a runner of few connections."""
-    CappedRunner.open_now = set()
+    """Runs a script with a connection pool and a runner with a limit."""
+    LimitedRunner.open_now = set()
 
     async def main():
         loop = asyncio.get_running_loop()
-        await loop.create_server(CappedRunner, *ADDRESS)
+        await loop.create_server(LimitedRunner, *ADDRESS)
         with upstream.Pool() as pool:
             return await script(pool)
 
@@ -48,17 +48,17 @@
 
 
 def test_requests_on_new_connections_leave_none_behind():
-    """Callers get 502 for writes, one after the other, at a runner at rest.
+    """A request that may run only once opens a connection of its own.
 
-    A request that may run once only takes a new connection. Each was kept
-    afterwards, though the next such request takes a new one as well; at thirty
-    a second a runner stood at its bound for connections with nothing to do,
-    and reset the next. What was reset may have run, so nobody may repeat it.
+    These connections were pooled, although the next such request opens its own
+    again. At thirty requests a second an idle runner reached its connection
+    limit and reset the next one. A request that was reset may have run and may
+    not be retried, so its caller got a 502.
     """
 
     async def script(pool):
         endings = []
-        for _ in range(4 * CAP):
+        for _ in range(4 * CONNECTION_LIMIT):
             answer = await fetching.fetch(pool,
                                           ADDRESS,
                                           b"POST / HTTP/1.1\r\n\r\n",
@@ -71,7 +71,7 @@
     assert set(run(script)) == {upstream.Ending.COMPLETE}
 
 
-def test_connection_of_a_request_that_may_be_repeated_is_kept():
+def test_connection_of_a_repeatable_request_is_pooled():
 
     async def script(pool):
         for _ in range(3):
@@ -83,20 +83,19 @@
     assert run(script) == 1
 
 
-@pytest.mark.parametrize("handled", [True, False])
-def test_request_that_meets_a_lost_connection_has_not_left(
-        monkeypatch, handled):
-    """A runner takes a connection and resets it before anything is sent.
+@pytest.mark.parametrize("is_handled", [True, False])
+def test_request_on_a_lost_connection_is_not_sent(monkeypatch, is_handled):
+    """A runner resets a connection before the request is written to it.
 
-    The reset is there when the request's turn comes, handled or not. Taken for
-    a request under way, it was held until its time was over, or answered as one
-    that may have run, though no byte of it can have left.
+    The loop may have handled the reset by then or not. The request was taken as
+    sent and waited until its deadline, or was answered as one that may have
+    run, although no byte of it left the node.
     """
     create = virtualloop.VirtualLoop.create_connection
 
     async def create_reset(*args, **options):
         transport, protocol = await create(*args, **options)
-        if handled:
+        if is_handled:
             transport.lose(ConnectionResetError("reset by peer"))
         else:
             transport.abort()
@@ -116,10 +115,10 @@
     assert took_ms < 10.0
 
 
-def test_request_that_the_system_refuses_to_send_has_not_left():
-    """A kept connection was reset, and the loop has not looked at it yet.
+def test_request_whose_first_send_fails_is_not_sent():
+    """A pooled connection was reset, and the loop has not noticed it yet.
 
-    Its first send fails: nothing was taken, so another runner may be tried.
+    The first send fails without taking a byte, so the request may be retried.
     """
 
     class Refusing(virtualnetwork.FakeTransport):
