--- a/cardamommill/gateway/admitting.py
+++ b/cardamommill/gateway/admitting.py
@@ -24,7 +24,10 @@
         """Returns for how long a newer configuration may have existed."""
 
     def keys_may_be_trusted(self) -> bool:
-        """Whether no key can have been revoked for longer than the limit."""
+        """Whether the configuration is recent enough to accept its keys.
+
+        If so, none of them was revoked longer ago than the limit.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/cardamommill/gateway/attempts.py
+++ b/cardamommill/gateway/attempts.py
@@ -20,7 +20,7 @@
 # From a runner they mean that only together with its header for "not executed";
 # without it they count as a failed run.
 _FAILURES_BELOW_500 = frozenset({408, 429})
-_FAULT_FIRST = 500
+_SERVER_ERROR_FIRST = 500
 
 _LOG = logbook.Logger("attempts")
 
@@ -42,7 +42,7 @@
     # The request may have run: there was no answer, or a truncated or invalid
     # one.
     BROKEN = "broken"
-    # This node cancelled the attempt since its group became silent.
+    # This node cancelled the attempt because its group became silent.
     DIVERTED = "diverted"
     # The deadline of the request passed.
     TIMED_OUT = "timed-out"
@@ -112,7 +112,7 @@
         if echo is not None:
             self._sink.on_head(head)
         if self._streaming and head.status == _OK_FIRST and (
-                self._is_own_success()):
+                self._has_valid_success_head()):
             self._parser = eventparser.EventParser()
         return True
 
@@ -153,19 +153,22 @@
                 return Outcome(Result.BROKEN, "ended within an event")
             return Outcome(Result.STREAMED, head=self._head)
         if _OK_FIRST <= status <= _OK_LAST:
-            if not self._is_own_success():
+            if not self._has_valid_success_head():
                 return Outcome(Result.BROKEN, f"{status} that is not its own")
             return Outcome(Result.ANSWERED, "", self._head, bytes(self._body))
+        # 421 (Misdirected Request): the request reached a runner that it was
+        # not meant for, which does not run it.
         if self._head.get(words.NOT_EXECUTED) is not None or status == 421:
             return Outcome(Result.NOT_RUN, f"runner said {status}", self._head)
         if self._head.get(words.ATTEMPT_ID) is None:
             return Outcome(Result.BROKEN, f"{status} without the request's id")
-        if status >= _FAULT_FIRST or status in _FAILURES_BELOW_500:
+        if status >= _SERVER_ERROR_FIRST or status in _FAILURES_BELOW_500:
             return Outcome(Result.FAILED, f"runner said {status}", self._head,
                            bytes(self._body))
         return Outcome(Result.ANSWERED, "", self._head, bytes(self._body))
 
-    def _is_own_success(self) -> bool:
+    def _has_valid_success_head(self) -> bool:
+        """Whether the head has this attempt's id, a seal and no encoding."""
         return (self._head.get(words.ATTEMPT_ID) == self._attempt_id and
                 self._head.get(words.SEAL) is not None and
                 self._head.get("content-encoding") is None)
--- a/cardamommill/gateway/callers.py
+++ b/cardamommill/gateway/callers.py
@@ -24,6 +24,8 @@
 MAX_UNSENT_BYTES = 1 << 20
 # Pipelined requests that wait on a connection before it is no longer read.
 MAX_PIPELINED = 8
+# 16 KiB of head and 4 MiB of body; 3 s for a head or until more of a body
+# arrives, and 15 s for an idle connection.
 DEFAULT_LIMITS = model.Limits(16_384, 4_194_304, 3000, 15_000)
 
 _LOG = logbook.Logger("callers")
@@ -58,10 +60,10 @@
                 reply: replies.Reply) -> ActiveRequest | None:
     """Calls the handler of a request and aborts the answer if it raises.
 
-    Otherwise the caller would wait until its deadline. If the handler was
-    called from within the parser, the parser would report the exception as a
-    malformed request, and the 400 would be a second answer, or deny a request
-    that may have run.
+    If the exception were not handled, the caller would wait until its deadline.
+    If the handler was called from within the parser, the parser would report
+    the exception as a malformed request. The caller would then get a 400, after
+    a complete answer or for a request that may have run.
     """
     try:
         return handler(request, reply)
@@ -82,6 +84,7 @@
         self._active: ActiveRequest | None = None
         self._is_answering = False
         self._pipelined: deque[CallerRequest] = deque()
+        # Whether a request was refused; all bytes after it are discarded.
         self._is_refusing = False
         self._reply: replies.Reply | None = None
         # Whether the caller waits for "100 Continue" before it sends the body
@@ -92,6 +95,8 @@
         self._target = b""
         self._headers: list[tuple[str, str]] = []
         self._body = bytearray()
+        # The start of the timeout of the request that is arriving; 0 if none
+        # is.
         self.partial_since_ms = 0.0
         self.idle_since_ms = clock.now_ms()
 
@@ -113,9 +118,9 @@
         """Registers the connection; see asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        raw = transport.get_extra_info("socket")
-        if raw is not None:
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock = transport.get_extra_info("socket")
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._server.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
@@ -129,9 +134,12 @@
             self.partial_since_ms = clock.now_ms()
         limits = self._server.limits
         if self._is_in_head:
+            # Bounds the memory for a head that does not end. Bytes that end it
+            # may contain a part of the body; on_headers_complete then checks
+            # the head alone.
             self._head_bytes += len(data)
             if self._head_bytes > limits.header_bytes + len(self._body) and (
-                    not self._headers_done(data)):
+                    not self._ends_head(data)):
                 self._refuse(431)
                 return
         try:
@@ -141,7 +149,7 @@
         except httptools.HttpParserError:
             self._refuse(400)
 
-    def _headers_done(self, data: bytes) -> bool:
+    def _ends_head(self, data: bytes) -> bool:
         return b"\r\n\r\n" in data
 
     def eof_received(self) -> bool:
@@ -149,7 +157,7 @@
         # Not left to connection_lost: the loop closes the transport only in its
         # next iteration, and until then the request could be retried at
         # another runner.
-        self._notify_disconnected()
+        self._cancel_requests()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -157,9 +165,9 @@
         del exc
         self._transport = None
         self._server.connections.pop(self, None)
-        self._notify_disconnected()
+        self._cancel_requests()
 
-    def _notify_disconnected(self) -> None:
+    def _cancel_requests(self) -> None:
         serving, self._active = self._active, None
         self._pipelined.clear()
         if serving is not None:
@@ -253,10 +261,10 @@
         self.idle_since_ms = clock.now_ms()
         if self._transport is None:
             return
-        has_close = self._reply is not None and self._reply.announced_close
-        if has_close:
+        is_last = self._reply is not None and self._reply.announced_close
+        if is_last:
             self._pipelined.clear()
-        if has_close or self.closing:
+        if is_last or self.closing:
             self._close_gracefully()
             return
         self._send_continue()
--- a/cardamommill/gateway/eventparser.py
+++ b/cardamommill/gateway/eventparser.py
@@ -30,7 +30,7 @@
         """Returns the events that are complete with these bytes.
 
         Raises:
-            ValueError: An event is longer than MAX_EVENT_BYTES.
+            ValueError: The incomplete event is longer than MAX_EVENT_BYTES.
         """
         self._rest += data
         events = []
@@ -44,7 +44,7 @@
 
 
 def event_id(block: bytes) -> int | None:
-    """Returns the id of an event, or None if it is not a number."""
+    """Returns the id of an event, or None if it has no numeric id."""
     start = 0 if block.startswith(b"id:") else block.find(b"\nid:") + 1
     if start == 0 and not block.startswith(b"id:"):
         return None
--- a/cardamommill/gateway/fetching.py
+++ b/cardamommill/gateway/fetching.py
@@ -26,16 +26,17 @@
     """Receives a small answer; see `upstream.Receiver`."""
 
     def __init__(self, request: bytes) -> None:
-        self._is_attempt = words.ATTEMPT_ID.encode() in request
+        self._is_caller_request = words.ATTEMPT_ID.encode() in request
         self.future: asyncio.Future[Answer] = (
             asyncio.get_running_loop().create_future())
         self._head = upstream.Head()
         self._body = bytearray()
 
     def on_head(self, head: upstream.Head) -> bool:
-        if not self._is_attempt and head.get(words.ATTEMPT_ID) is not None:
-            # A late answer to a caller's request: the 200 of one was taken as
-            # the confirmation of an order.
+        if not self._is_caller_request and head.get(
+                words.ATTEMPT_ID) is not None:
+            # A late answer to a caller's request on this connection. Without
+            # this check its 200 was taken as the confirmation of an order.
             _LOG.warning(logs.line("answer-skipped", status=head.status))
             return False
         self._head = head
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -51,11 +51,12 @@
     """Values that this node adds to a request for one attempt.
 
     Attributes:
-        runner: The id of the only runner that may run it.
-        remaining_ms: How much time its caller has left.
-        tenant: The name of its client account; None if it needs no key.
-        rank: Its rank in the runner's queue, 0 is first; None for a plain
-            service.
+        runner: The id of the only runner that may run the request.
+        remaining_ms: The time until the caller's deadline.
+        tenant: The name of the caller's client account; None if the request
+            needs no key.
+        rank: The rank of the request in the runner's queue, 0 is first; None
+            for a service whose runners form no groups.
         last_event_id: The event after which a stream resumes; None to start it
             from its beginning.
     """
@@ -105,7 +106,10 @@
 
 
 def token_counts(request: callers.CallerRequest) -> placing.TokenCounts:
-    """Returns the token counts that a request states in its headers."""
+    """Returns the token counts from the headers of a request; 0 if unknown.
+
+    The expected length of the answer, if given, replaces a larger limit.
+    """
     counts = (request.get(words.TOKEN_COUNTS) or "").split(",")
     numbers = [
         found for each in counts
@@ -118,7 +122,7 @@
 
 
 def fingerprint(request: callers.CallerRequest) -> int:
-    """Returns a hash that is equal if the same request is sent again."""
+    """Returns a hash by which copies of the same request are recognized."""
     counts = request.get(words.TOKEN_COUNTS) or ""
     named = f"{request.method} {request.target} {counts}"
     return zlib.crc32(request.body, zlib.crc32(named.encode()))
--- a/cardamommill/gateway/freshness.py
+++ b/cardamommill/gateway/freshness.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-# A request may take this long from the check of its key to the runner. Keys are
-# trusted for this much less than the bound after which a revoked key must no
+# The longest time that a request may take from the check of its key to the
+# runner. It is subtracted from the time after which a revoked key must no
 # longer work.
 REVOCATION_MARGIN_MS = 600.0
 
@@ -30,5 +30,8 @@
         return now_ms - self.confirmed_ms
 
     def keys_may_be_trusted(self, now_ms: float) -> bool:
-        """Whether no key can have been revoked for longer than the limit."""
+        """Whether the configuration is recent enough to accept its keys.
+
+        If so, none of them was revoked longer ago than the limit.
+        """
         return self.age_ms(now_ms) < self.revoke_ms - REVOCATION_MARGIN_MS
--- a/cardamommill/gateway/retrydecision.py
+++ b/cardamommill/gateway/retrydecision.py
@@ -7,19 +7,29 @@
 
 
 class NextStep(enum.Enum):
-    """The step that follows an attempt."""
+    """The step that follows an attempt.
 
+    After an ANSWER_... step, an answer that has begun is aborted instead, and
+    an earlier failure answer of a runner takes precedence.
+    """
+
+    # The caller gets the runner's answer, or the end of the stream.
     PASS_ON = "pass-on"
+    # The request is sent to another runner or group.
     RETRY = "elsewhere"
+    # The caller is told that the request did not run, and when to retry.
     ANSWER_NOT_RUN = "say-not-run"
+    # The caller is told that the request may have run.
     ANSWER_UNKNOWN = "say-unknown"
+    # The caller is told that its deadline passed.
     ANSWER_TIMED_OUT = "say-timed-out"
+    # The caller closed its connection and gets no answer.
     NOTHING = "nothing"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestState:
-    """What a request allows after an attempt.
+    """The state of a request after an attempt.
 
     Attributes:
         repeatable: Whether the request may run more than once.
--- a/cardamommill/gateway/statuspages.py
+++ b/cardamommill/gateway/statuspages.py
@@ -10,7 +10,7 @@
 
 
 class StatusPages:
-    """Handler of the pages for operation; no request goes to a runner."""
+    """Handler of status pages; forwards no request to a runner."""
 
     def __init__(self, is_ready: Callable[[], bool],
                  registry: metrics.Metrics) -> None:
--- a/cardamommill/gateway/upstream.py
+++ b/cardamommill/gateway/upstream.py
@@ -81,10 +81,15 @@
         self._parser: Any = None
         self._receiver: Receiver | None = None
         self._head = Head()
+        # Whether the answer that arrives was rejected by the receiver, as one
+        # to another request.
         self._is_skipping = False
-        self._has_head = False
+        self._has_accepted_head = False
         self._is_in_head = True
-        self._has_body_end = False
+        # Whether the head determines where the body ends; if not, it ends with
+        # the connection.
+        self._is_body_delimited = False
+        # Whether the connection may not be reused after this answer.
         self._must_close = False
         self._is_informational = False
         self.reusable_until_ms = 0.0
@@ -100,15 +105,15 @@
         """Sends a request and passes its answer to the receiver."""
         self._receiver = receiver
         self._parser = httptools.HttpResponseParser(self)
-        self._has_head = False
+        self._has_accepted_head = False
         self._must_close = False
         transport = self._transport
         if transport is not None and not transport.is_closing():
             transport.write(request)
-        # A connection that is already closed, or closed during this write, took
-        # no byte: a write closes it only if its first send failed. Without this
-        # check the request waited until its deadline or was reported as one
-        # that may have run.
+        # No byte was sent if the connection is closed now: either it was closed
+        # before, or the write closed it, which happens only if its first send
+        # fails. Without this check the request waited until its deadline or was
+        # reported as one that may have run.
         if transport is None or transport.is_closing():
             self._finish(Ending.NOT_SENT, "closed before it was sent")
 
@@ -133,11 +138,11 @@
         """Configures the socket; see asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        raw = transport.get_extra_info("socket")
-        if raw is not None:
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT,
-                           USER_TIMEOUT_MS)
+        sock = transport.get_extra_info("socket")
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT,
+                            USER_TIMEOUT_MS)
         self.reusable_until_ms = clock.now_ms() + DEFAULT_KEEP_ALIVE_MS
 
     def data_received(self, data: bytes) -> None:
@@ -174,7 +179,8 @@
         self._transport = None
         # An answer without a length ends with its connection. It is incomplete
         # if the connection was reset.
-        if exc is None and self._has_head and not self._has_body_end:
+        if exc is None and self._has_accepted_head and (
+                not self._is_body_delimited):
             self._finish(Ending.COMPLETE, "")
         else:
             self._finish(Ending.BROKEN, f"closed: {exc or 'end of stream'}")
@@ -206,16 +212,16 @@
         self._is_informational = self._head.status < 200
         if self._is_informational:
             return
-        self._has_body_end = any(
+        self._is_body_delimited = any(
             _delimits_body(name.lower(), value.lower())
             for name, value in self._head.headers)
         self._is_skipping = not self._receiver.on_head(self._head)
-        self._has_head = not self._is_skipping
+        self._has_accepted_head = not self._is_skipping
         self._must_close = self._must_close or self._is_skipping
 
     def on_body(self, data: bytes) -> None:
         """Passes a part of the body to the receiver; see httptools."""
-        if self._receiver is not None and self._has_head:
+        if self._receiver is not None and self._has_accepted_head:
             self._receiver.on_body(data)
 
     def on_message_complete(self) -> None:
@@ -278,7 +284,7 @@
 
 
 class Pool:
-    """A pool of connections to peers; closes them all on exit."""
+    """A pool of connections to peers; closes the idle ones on exit."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[Connection]] = {}
@@ -311,9 +317,10 @@
         """
         exchange = Exchange(receiver)
         connection = None if new_connection else self._take_idle(address)
-        # A connection opened for one request is not pooled: the next such
-        # request opens its own, so idle ones accumulated up to the runner's
-        # connection limit, and the runner reset further ones.
+        # A connection opened for one request is closed after it and not pooled.
+        # The next such request opens its own: when they were pooled, idle ones
+        # accumulated up to the runner's connection limit, and the runner reset
+        # further ones.
         on_idle = Connection.close if new_connection else (
             lambda one: self._idle.setdefault(address, []).append(one))
         if connection is not None:
--- a/tests/gateway/exchanges.py
+++ b/tests/gateway/exchanges.py
@@ -14,7 +14,7 @@
     def __init__(self, answers, requests, after_answer):
         self._answers = answers
         self._requests = requests
-        self._then = after_answer
+        self._after_answer = after_answer
 
     def connection_made(self, transport):
         self._transport = transport
@@ -23,9 +23,9 @@
         self._requests.append(data)
         if self._answers:
             self._transport.write(self._answers.pop(0))
-        if self._then == "reset":
+        if self._after_answer == "reset":
             self._transport.abort()
-        elif self._then == "close":
+        elif self._after_answer == "close":
             self._transport.close()
 
 
--- a/tests/gateway/test_heldrequests.py
+++ b/tests/gateway/test_heldrequests.py
@@ -17,7 +17,7 @@
         self.left = True
 
 
-def run_held_request(known_after_ms,
+def run_held_request(ready_after_ms,
                      left_after_ms=1e9,
                      length_ms=400.0,
                      fails=False):
@@ -37,7 +37,7 @@
             return serving
 
         def may_serve():
-            return clock.now_ms() - began_ms >= known_after_ms
+            return clock.now_ms() - began_ms >= ready_after_ms
 
         held = heldrequests.HeldRequest(
             serve, callers.CallerRequest("GET", "/x", [], b"", began_ms), reply)
@@ -57,27 +57,30 @@
 
     The successor refused them, and many do not retry again.
     """
-    (served_ms,), _ = run_held_request(known_after_ms=40.0)
+    (served_ms,), _ = run_held_request(ready_after_ms=40.0)
     assert 40.0 <= served_ms <= 40.0 + 2 * heldrequests.POLL_INTERVAL_MS
 
 
 def test_request_is_not_held_longer_if_the_node_stays_unready():
-    """Without the store the request is refused and may be retried later."""
-    (served_ms,), _ = run_held_request(known_after_ms=1e9)
+    """A node that cannot read the configuration from the store stays unready.
+
+    It passes the request on to be refused, so that the caller may retry later.
+    """
+    (served_ms,), _ = run_held_request(ready_after_ms=1e9)
     assert served_ms <= 1.1 * heldrequests.MAX_HOLD_MS
 
 
 def test_request_whose_caller_disconnected_is_not_served():
-    served, _ = run_held_request(known_after_ms=100.0, left_after_ms=50.0)
+    served, _ = run_held_request(ready_after_ms=100.0, left_after_ms=50.0)
     assert not served
 
 
 def test_later_disconnect_is_reported_to_the_active_request():
-    _, serving = run_held_request(known_after_ms=20.0, left_after_ms=100.0)
+    _, serving = run_held_request(ready_after_ms=20.0, left_after_ms=100.0)
     assert serving.left
 
 
 def test_request_whose_handler_fails_is_aborted():
     """An exception in the task of a held request is handled nowhere else."""
-    _, serving = run_held_request(known_after_ms=20.0, fails=True)
+    _, serving = run_held_request(ready_after_ms=20.0, fails=True)
     assert serving.reply.ending == "broken off"
--- a/tests/gateway/test_misdelivered_bytes.py
+++ b/tests/gateway/test_misdelivered_bytes.py
@@ -201,8 +201,9 @@
 def test_request_whose_processing_fails_is_ended():
     """The choice of a group raises an exception.
 
-    When only `AnswerOutOfOrder` was handled there, the caller got no answer,
-    its connection stayed busy, and the end of the request was not reported.
+    When the task of a request handled only `AnswerOutOfOrder`, the caller got
+    no answer, its connection stayed busy, and the end of the request was not
+    reported.
     """
     node = relays.FakeNode()
 
@@ -278,9 +279,9 @@
 def test_late_answer_to_a_request_is_not_taken_as_that_to_an_order():
     """A runner answers a request again while an order uses its connection.
 
-    The late answer has the id of a request, which an order has not. When it was
-    taken as the answer to the order, its 200 confirmed the order, and the 409
-    for the order was never read.
+    The late answer has the id of a request; the answer to an order has none.
+    When it was taken as the answer to the order, its 200 confirmed the order,
+    and the 409 for the order was never read.
     """
     late = test_attempts.answer()
     own = b"HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"
--- a/tests/gateway/test_retrydecision.py
+++ b/tests/gateway/test_retrydecision.py
@@ -6,7 +6,7 @@
 from cardamommill.gateway.attempts import Result
 
 
-def test_only_a_try_that_surely_did_not_run_counts_as_that():
+def test_only_unsent_and_refused_attempts_count_as_not_run():
     assert {each for each in Result if not retrydecision.may_have_run(each)
            } == {Result.NOT_RUN, Result.UNSENT}
 
