--- a/cardamommill/gateway/fleetview.py
+++ b/cardamommill/gateway/fleetview.py
@@ -1,4 +1,4 @@
-"""What is believed of runners and groups, from the list and from reports."""
+"""The state of runners and groups, from the runner list, reports and orders."""
 
 import collections
 from collections.abc import Iterable, Iterator
@@ -6,35 +6,39 @@
 
 from cardamommill.gateway import memberships, model
 
-# A runner that left the list is remembered for as long as it may still be
-# asked whether it lives: its group may go on serving.
+# How long a runner that left the list is kept. It may still be probed, since
+# its group may still be open.
 DELISTED_RETENTION_MS = 30_000
-# As long as a list without news is waited for, with a drain bound of 2 s.
+# Default of `FleetView.list_stale_ms`, for a drain bound of 2 s: how long the
+# next list is waited for when there are no changes.
 LIST_STALE_MS = 2800.0
 
 
 @dataclasses.dataclass(slots=True)
 class RunnerRecord:
-    """One runner, with the age of each piece of evidence.
+    """The state of one runner, with the time of each piece of evidence.
 
     Attributes:
-        runner: As the list told it last.
-        listed: Whether the newest list names it.
-        listed_ms: The time of the newest list that named it.
-        status: The newest that is known of its orders and group.
-        report_ms: When the newest report was asked for.
-        down_ms: When it was found not to answer; 0 while it is not.
-        unanswered_ms: When it was last asked in vain.
-        recovered_ms: When it last answered again after that.
-        leaving_ms: When it was first seen to leave; 0 while it is not.
-        has_reported_leaving: Whether an answer of its own said that it leaves.
-        last_model: The model of its last group, for which joining is quick.
-        pace: Of its newest report; over 1 is slow.
+        runner: Its entry in the last list that contained it.
+        listed: Whether the newest list contains it.
+        listed_ms: Time of the newest list that contained it.
+        status: Its newest known status, from the list, reports or orders.
+        report_ms: When the query for its newest report was sent.
+        down_ms: When the first query that it failed to answer was sent; 0 while
+            it answers.
+        unanswered_ms: When the last query that it failed to answer was sent.
+        recovered_ms: When it last started to answer again.
+        leaving_ms: When it was first seen to be leaving; 0 while it is not.
+        has_reported_leaving: Whether the runner itself reported that it is
+            leaving.
+        last_model: Model of its last group; joining a group of the same model
+            is faster.
+        pace: Slowness factor of its newest report; over 1 is slow.
         order_ms: When it last answered an order of this node.
-        list_change_ms: When the list last told something new of its group.
-        orders_begun: Its count of orders, as far as this node knows; a wrong
-            guess is refused by the runner and then asked for.
-        has_exact_order_count: Whether that is no guess.
+        list_change_ms: When the list last changed its status.
+        orders_begun: Its count of orders, as far as known. A runner refuses an
+            order with a wrong count and is then queried.
+        has_exact_order_count: Whether `orders_begun` is certain.
     """
 
     runner: model.Runner
@@ -56,28 +60,28 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may be ordered to work."""
+        """Whether it may be given orders and requests."""
         return self.listed and not self.down_ms and not self.is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it leaves, by the list's word or its own."""
+        """Whether it is leaving, according to the list or to itself."""
         return self.runner.leaving or self.has_reported_leaving
 
     @property
     def membership(self) -> model.Membership | None:
-        """Its place in a group."""
+        """Its membership of a group, if any."""
         return self.status.membership
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """A formation as its members tell of it.
+    """A group, put together from the status of its members.
 
     Attributes:
         key: Its name and epoch.
-        model: What it serves; empty while nobody said so.
-        members: By rank, as far as known.
+        model: The model that it serves; empty while unknown.
+        members: The known members, by rank.
     """
 
     key: model.GroupKey
@@ -86,33 +90,33 @@
 
     @property
     def head(self) -> RunnerRecord | None:
-        """The member that takes requests."""
+        """The member that receives requests."""
         return self.members.get(0)
 
     @property
     def domains(self) -> "collections.Counter[str]":
-        """How many members each fabric domain has; more than one is slow."""
+        """Number of members by fabric domain; several domains make it slow."""
         return collections.Counter(
             each.status.domain for each in self.members.values())
 
     @property
     def is_open_and_reachable(self) -> bool:
-        """Whether it serves, and all its members answer this node."""
+        """Whether it is open and all its members answer this node."""
         return self.is_open and not any(each.down_ms
                                         for each in self.members.values())
 
     @property
     def is_open(self) -> bool:
-        """Whether its head says that it serves."""
+        """Whether its head is in the state OPEN."""
         head = self.head
         return (head is not None and head.membership is not None and
                 head.membership.state is model.MemberState.OPEN)
 
 
 def serving(groups: Iterable[Group], model_name: str) -> list[Group]:
-    """Returns the groups of a model that serve, as far as this node can tell.
+    """Returns the groups of a model that are open and reachable.
 
-    Those that can't be reached take no requests of here.
+    Groups with a member that this node can't reach get no requests from it.
     """
     return [
         each for each in groups
@@ -121,40 +125,40 @@
 
 
 class FleetView:
-    """All runners; the one place where evidence is joined."""
+    """All runners; merges evidence from lists, reports and orders."""
 
     def __init__(self) -> None:
         self.known: dict[str, RunnerRecord] = {}
-        # Counts all changes, for whoever keeps what he made of the view.
+        # Incremented with each change, so that derived data can be cached.
         self.version = 0
         self.list_as_of_ms = float("-inf")
-        # Older than this the list is not followed any more; set by its reader.
+        # An older list is no longer acted upon; set by the list's reader.
         self.list_stale_ms = LIST_STALE_MS
         self._groups: dict[str, dict[model.GroupKey, Group]] = {}
         self._groups_version = -1
 
     def apply_list(self, runners: Iterable[model.Runner],
                    as_of_ms: float) -> list[tuple[str, str]]:
-        """Takes a newer list of all runners.
+        """Applies a newer list of all runners.
 
         Args:
-            runners: All that the list names.
-            as_of_ms: When it was true; an older one than the last is left.
+            runners: All runners in the list.
+            as_of_ms: Time of the list; one older than the last is ignored.
 
         Returns:
-            Pairs of a runner's id and what changed about it.
+            Pairs of a runner's id and a description of the change.
         """
         if as_of_ms <= self.list_as_of_ms:
             return []
         self.list_as_of_ms = as_of_ms
         self.version += 1
         changes: list[tuple[str, str]] = []
-        named = set()
+        listed_ids = set()
         for runner in runners:
-            named.add(runner.id)
-            changes += self._take_entry(runner, as_of_ms)
+            listed_ids.add(runner.id)
+            changes += self._apply_entry(runner, as_of_ms)
         for runner_id, known in list(self.known.items()):
-            if runner_id in named:
+            if runner_id in listed_ids:
                 continue
             if known.listed:
                 known.listed = False
@@ -163,8 +167,8 @@
                 del self.known[runner_id]
         return changes
 
-    def _take_entry(self, runner: model.Runner,
-                    as_of_ms: float) -> Iterator[tuple[str, str]]:
+    def _apply_entry(self, runner: model.Runner,
+                     as_of_ms: float) -> Iterator[tuple[str, str]]:
         known = self.known.get(runner.id)
         if known is None:
             known = RunnerRecord(
@@ -175,13 +179,13 @@
                 has_exact_order_count=memberships.is_empty_status(
                     runner.status))
             self.known[runner.id] = known
-            self._note_model(known)
+            self._update_last_model(known)
             yield runner.id, "listed"
         if not known.listed:
             yield runner.id, "listed again"
-        is_news = runner.row_position > known.runner.row_position
-        read_before_ms = known.listed_ms
-        said = known.runner.status.membership
+        has_changed = runner.row_position > known.runner.row_position
+        last_listed_ms = known.listed_ms
+        previous = known.runner.status.membership
         known.runner = runner
         known.listed = True
         known.listed_ms = as_of_ms
@@ -190,18 +194,19 @@
             yield runner.id, "leaving"
         if not known.is_leaving:
             known.leaving_ms = 0.0
-        if is_news:
-            self._join(known, runner.status, said, read_before_ms, as_of_ms)
+        if has_changed:
+            self._apply_changed_row(known, runner.status, previous,
+                                    last_listed_ms, as_of_ms)
 
     def apply_report(self, runner_id: str, report: model.Report,
                      asked_ms: float, lag_ms: float) -> None:
-        """Takes a runner's own report: it lives.
+        """Applies a runner's report, which also shows that it is alive.
 
         Args:
-            runner_id: Who answered.
-            report: The answer.
-            asked_ms: When it was asked.
-            lag_ms: What it tells may be this much older.
+            runner_id: The runner.
+            report: Its report.
+            asked_ms: When the report was requested.
+            lag_ms: How much older the reported state may be.
         """
         known = self.known.get(runner_id)
         if known is None or asked_ms < known.report_ms:
@@ -213,16 +218,16 @@
         known.pace = report.pace
         known.report_ms = asked_ms
         if asked_ms - lag_ms < max(known.order_ms, known.list_change_ms):
-            # An order or a row of the list is newer than what it tells.
+            # An order or a row of the list is newer than the reported state.
             return
         known.status = report.status
         known.orders_begun = report.orders_begun
         known.has_exact_order_count = True
-        self._note_model(known)
+        self._update_last_model(known)
         self.version += 1
 
     def record_no_answer(self, runner_id: str, asked_ms: float) -> bool:
-        """Notes that a runner did not answer; True where that is news."""
+        """Records that a runner did not answer; returns whether that is new."""
         known = self.known.get(runner_id)
         if known is None or asked_ms < known.report_ms:
             return False
@@ -234,10 +239,13 @@
         return True
 
     def record_leaving(self, runner_id: str, now_ms: float) -> bool:
-        """Takes a runner's own word that it leaves; True where that is news.
+        """Records a runner's own report that it is leaving.
 
-        It holds to the end of that life, whatever the list says: a runner that
-        does not reach the store is listed as ready until its entry lapses.
+        This holds until the runner is gone, whatever the list says: a runner
+        that can't reach the store is listed as ready until its entry expires.
+
+        Returns:
+            Whether it had not reported that before.
         """
         known = self.known.get(runner_id)
         if known is None or known.has_reported_leaving:
@@ -250,26 +258,30 @@
     def record_order(self, runner_id: str, orders_begun: int,
                      membership: model.Membership | None,
                      now_ms: float) -> None:
-        """Notes what an accepted order made of a runner."""
+        """Records the effect of an accepted order on a runner."""
         known = self.known.get(runner_id)
         if known is None:
             return
         known.order_ms = now_ms
-        self._note_model(known)
+        self._update_last_model(known)
         self.version += 1
         known.orders_begun = orders_begun
         known.has_exact_order_count = True
         known.status = dataclasses.replace(known.status, membership=membership)
 
     def record_order_refusal(self, runner_id: str, now_ms: float) -> None:
-        """Notes that an order was answered, but not accepted."""
+        """Records that a runner answered an order without accepting it."""
         known = self.known.get(runner_id)
         if known is not None:
             known.order_ms = now_ms
 
     def record_open_group(self, head_id: str, key: model.GroupKey,
                           model_name: str) -> bool:
-        """Takes the word of a planner that a group serves; True for news."""
+        """Records a planner's report that a group is open.
+
+        Returns:
+            Whether that is new.
+        """
         known = self.known.get(head_id)
         if known is None or known.down_ms:
             return False
@@ -290,21 +302,24 @@
         self.version += 1
         return True
 
-    def _join(self, known: RunnerRecord, status: model.RunnerStatus,
-              said: model.Membership | None, read_before_ms: float,
-              as_of_ms: float) -> None:
-        """Takes what a changed row says, if it is newer than all else.
-
-        A row is as old as its last change, not as the reading of it: while
-        the store was away a runner joined a group that its row did not name,
-        and after that was taken for free. The row is surely newer than an
-        order or a report only if it still said something else after that.
+    def _apply_changed_row(self, known: RunnerRecord,
+                           status: model.RunnerStatus,
+                           previous: model.Membership | None,
+                           last_listed_ms: float, as_of_ms: float) -> None:
+        """Applies a changed row if it is newer than all other evidence.
+
+        A row is as old as its last change, not as its last read. During an
+        outage of the store a runner joined a group, which its row did not show,
+        and after the outage it was taken to be free. A row is certainly newer
+        than an order or a report only if it was read after these with its
+        previous content.
         """
-        newer = read_before_ms > max(known.report_ms, known.order_ms)
-        if not newer and not memberships.is_successor(known.membership,
-                                                      status.membership, said):
-            # What its host holds is true all the same: a load that ended before
-            # the next reading was never seen, and the spare never used.
+        is_newer = last_listed_ms > max(known.report_ms, known.order_ms)
+        if not is_newer and not memberships.is_successor(
+                known.membership, status.membership, previous):
+            # The staged models are valid in any case. Without them, a load that
+            # ended before the next read went unnoticed, and the spare was never
+            # used.
             known.status = dataclasses.replace(known.status,
                                                staged=status.staged)
             return
@@ -312,30 +327,31 @@
             known.list_change_ms = as_of_ms
         if memberships.place(status.membership) != memberships.place(
                 known.membership):
-            # Somebody else ordered that.
+            # Another node gave the order, so the count is out of date.
             known.has_exact_order_count = False
         known.status = status
-        self._note_model(known)
+        self._update_last_model(known)
 
-    def _note_model(self, known: RunnerRecord) -> None:
+    def _update_last_model(self, known: RunnerRecord) -> None:
         if known.membership is not None and known.status.models:
             known.last_model = known.status.models[0]
 
     def groups(self, service: str) -> dict[model.GroupKey, Group]:
-        """Returns the formations of a service, of runners listed or not.
+        """Returns the groups of a service, of runners listed or not.
 
-        Made anew only after a change: a planner asks some ten times a step.
+        The result is cached until the next change, because a planner calls this
+        about ten times per step.
         """
         if self._groups_version != self.version:
             self._groups_version = self.version
             self._groups = {}
         if service not in self._groups:
-            self._groups[service] = self._formed(service)
+            self._groups[service] = self._build_groups(service)
         return self._groups[service]
 
-    def _formed(self, service: str) -> dict[model.GroupKey, Group]:
+    def _build_groups(self, service: str) -> dict[model.GroupKey, Group]:
         found: dict[model.GroupKey, Group] = {}
-        names: dict[model.GroupKey, str] = {}
+        model_names: dict[model.GroupKey, str] = {}
         for known in self.known.values():
             membership = known.membership
             if membership is None or known.runner.service != service:
@@ -345,21 +361,21 @@
                 found[key] = Group(key, "", {})
             found[key].members[membership.rank] = known
             if known.status.models:
-                names[key] = known.status.models[0]
+                model_names[key] = known.status.models[0]
         return {
-            key: dataclasses.replace(group, model=names.get(key, ""))
+            key: dataclasses.replace(group, model=model_names.get(key, ""))
             for key, group in found.items()
         }
 
     def members(self, key: model.GroupKey) -> list[RunnerRecord]:
-        """Returns who says that it is in a group, listed or not."""
+        """Returns the members of a group, listed or not."""
         return [
             each for each in self.known.values()
             if each.membership is not None and each.membership.key == key
         ]
 
     def open_groups_in(self, data_centre: str) -> list[model.GroupKey]:
-        """Returns the groups whose heads serve in a data centre."""
+        """Returns the groups with an open, usable head in a data centre."""
         return [
             each.membership.key
             for each in self.known.values()
--- a/cardamommill/gateway/memberships.py
+++ b/cardamommill/gateway/memberships.py
@@ -1,8 +1,8 @@
-"""How what runners say of their places in groups follows one another."""
+"""Compares successive states of a runner's membership of a group."""
 
 from cardamommill.gateway import model
 
-_ORDER = {
+_STATE_ORDER = {
     model.MemberState.JOINING: 0,
     model.MemberState.READY: 1,
     model.MemberState.OPEN: 2,
@@ -13,29 +13,29 @@
 
 
 def is_empty_status(status: model.RunnerStatus) -> bool:
-    """Whether nobody can have ordered anything of a runner yet."""
+    """Whether a status shows no effect of any order to the runner."""
     return not (status.staged or status.models or status.membership)
 
 
 def place(membership: model.Membership | None) -> model.GroupKey | None:
-    """Returns the group that a membership names, None for none."""
+    """Returns the group of a membership, or None without one."""
     return membership.key if membership is not None else None
 
 
 def is_successor(before: model.Membership | None,
                  after: model.Membership | None,
-                 said: model.Membership | None) -> bool:
-    """Whether a place in a group is the same one, later.
+                 previous: model.Membership | None) -> bool:
+    """Whether a membership is the same or a later state of another.
 
     Args:
-        before: What is believed.
-        after: What its row says.
-        said: What its row said before.
+        before: The membership that is assumed now.
+        after: The membership in the runner's new row.
+        previous: The membership in the runner's previous row.
     """
     if before is None or after is None or before.key != after.key:
         return False
-    if _ORDER[after.state] >= _ORDER[before.state]:
+    if _STATE_ORDER[after.state] >= _STATE_ORDER[before.state]:
         return True
-    # A head that has finished after its close says ready once more.
-    return (after.state is model.MemberState.READY and said is not None and
-            said.key == after.key and said.state in _SERVING)
+    # A head that was closed returns to READY once it has drained.
+    return (after.state is model.MemberState.READY and previous is not None and
+            previous.key == after.key and previous.state in _SERVING)
--- a/cardamommill/gateway/model.py
+++ b/cardamommill/gateway/model.py
@@ -1,4 +1,4 @@
-"""What an entry VM knows of runners, groups and configurations."""
+"""Data types for runners, groups, services and the configuration."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class MemberState(enum.Enum):
-    """What a runner says of its place in a group."""
+    """State of a runner as a member of a group."""
 
     JOINING = "joining"
     READY = "ready"
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupKey:
-    """One formation of a replica; its list of members never changes."""
+    """Identifies one formation of a replica, whose list of members is fixed."""
 
     name: str
     epoch: int
@@ -28,7 +28,7 @@
 
     @property
     def short_id(self) -> int:
-        """A short name, for sums of which a datagram must hold many."""
+        """A 32-bit hash of the key, of which many fit into one datagram."""
         return _short_id(self)
 
 
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Membership:
-    """A runner's place in a group; rank 0 is the head."""
+    """A runner's membership of a group; rank 0 is the head."""
 
     group: str
     epoch: int
@@ -48,19 +48,19 @@
 
     @property
     def key(self) -> GroupKey:
-        """The formation."""
+        """The group's name and epoch."""
         return GroupKey(self.group, self.epoch)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerStatus:
-    """What a runner says of itself, by whichever way.
+    """What a runner publishes about itself in the runner list and in reports.
 
     Attributes:
         domain: Its fabric domain.
-        staged: Models on its host.
+        staged: Models that are stored on its host.
         models: Models that it runs.
-        membership: Its place in a group.
+        membership: Its membership of a group, if any.
     """
 
     domain: str = ""
@@ -71,15 +71,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A runner's own answer about itself.
+    """A runner's answer to a status query.
 
     Attributes:
-        status: What the list tells too, later.
-        orders_begun: Orders that began something, in this life.
-        busy: Whether one is under way.
+        status: The part that the runner list also holds, with a delay.
+        orders_begun: Number of orders that had an effect since its start.
+        busy: Whether it is carrying out an order.
         waiting: Requests in its queue.
-        running: Requests that it runs.
-        pace: Over 1 means slow.
+        running: Requests in progress.
+        pace: Slowness factor; over 1 is slower than normal.
     """
 
     status: RunnerStatus
@@ -92,11 +92,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Runner:
-    """One life of a runner, as the list of runners tells it.
+    """A runner's entry in the runner list; a restarted runner is a new one.
 
     Attributes:
-        row_version: Of its row, which changes with what the row says.
-        row_era: Of the store, in which that version was given out.
+        row_version: Version of its row, which changes with the row's content.
+        row_era: Era of the store in which that version was assigned.
     """
 
     id: str
@@ -112,7 +112,7 @@
 
     @property
     def row_position(self) -> tuple[int, int]:
-        """Orders what rows of this runner say, the newest last."""
+        """Sort key for rows of this runner, from oldest to newest."""
         return self.row_era, self.row_version
 
 
@@ -122,11 +122,11 @@
 
     Attributes:
         name: Its name in requests.
-        size: Runners a group.
-        share: Part of the runners that it should have at the start.
-        pace: Factor on all times of its groups.
-        load_ms: From the weight store onto a host.
-        warm_ms: From the host into the runner.
+        size: Number of runners in a group.
+        share: Fraction of the runners that it gets initially.
+        pace: Factor applied to all execution times of its groups.
+        load_ms: Time to load it from the weight store onto a host.
+        warm_ms: Time to load it from the host into a runner.
     """
 
     name: str
@@ -139,12 +139,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """The published arithmetic of a service's engine.
+    """Published performance parameters of a service's inference engine.
 
     Attributes:
-        report_lag_ms: A report tells what was true this long ago.
-        far_factor: On all times of a group whose members are in more than
-            one domain.
+        report_lag_ms: Age of the state that a runner's report describes.
+        far_factor: Factor applied to all execution times of a group whose
+            members are in more than one fabric domain.
     """
 
     slots: int
@@ -166,13 +166,13 @@
     models: tuple[ServedModel, ...]
 
     def model(self, name: str) -> ServedModel | None:
-        """Returns the model of a name."""
+        """Returns the model with the given name, or None."""
         return next((each for each in self.models if each.name == name), None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """Runners that do the same; with an engine they work in groups."""
+    """A set of interchangeable runners; those with an engine form groups."""
 
     name: str
     health_path: str
@@ -181,7 +181,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated."""
+    """Determines whether requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -190,11 +190,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which services, and how.
+    """Maps requests to services, with time limits and a retry policy.
 
     Attributes:
         backends: Pairs of service and weight.
-        gap_goal_ms: The longest pause between events that is in time.
+        gap_goal_ms: Longest pause between stream events that still meets the
+            latency objective.
     """
 
     name: str
@@ -212,14 +213,14 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAMING and self.resumable)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take or stay idle."""
+    """Limits on the size of requests and on slow or idle clients."""
 
     header_bytes: int
     body_bytes: int
@@ -229,7 +230,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tenant:
-    """A client account; keys are held as SHA-256 alone."""
+    """A client account; only SHA-256 digests of its keys are stored."""
 
     name: str
     key_digests: tuple[bytes, ...]
@@ -238,7 +239,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One accepted version, whole."""
+    """One complete, accepted version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/tests/gateway/builders.py
+++ b/tests/gateway/builders.py
@@ -1,4 +1,4 @@
-"""Small builders for tests of the gateway."""
+"""Functions that build test data for the gateway."""
 
 from cardamommill.gateway import fleetview, model
 
--- a/tests/gateway/test_fleetview.py
+++ b/tests/gateway/test_fleetview.py
@@ -1,4 +1,4 @@
-"""Tests of how evidence about runners is joined."""
+"""Tests of how evidence about runners is merged."""
 
 from cardamommill.gateway import model
 from tests.gateway import builders
@@ -11,11 +11,11 @@
 OPEN = builders.member(KEY, 0, model.MemberState.OPEN)
 
 
-def test_row_that_did_not_change_is_no_news_after_an_outage():
-    # While the store is away a runner joins a group; another planner learns
-    # it by report. Then the first list comes, with the row from before. Were
-    # it believed because it was read later, the runner would be joined to a
-    # second group while the first one is open.
+def test_unchanged_row_is_not_applied_after_an_outage():
+    # During an outage of the store a runner joins a group, which this node
+    # learns from a report. The first list after the outage still holds the row
+    # from before. If that row were applied because it was read later, the
+    # runner would be added to a second group while the first one is open.
     view = builders.view(builders.runner(1, row_version=5), at_ms=1000)
     view.apply_report("i-1", builders.report(2, OPEN, "large"), 9000, 200)
     view.apply_list([builders.runner(1, row_version=5)], 12_000)
@@ -24,8 +24,8 @@
 
 
 def test_row_written_before_an_order_does_not_undo_it():
-    # A member is broken, its row says so; it is told to leave, and the list
-    # that was read just after still has the row from before.
+    # The row of a broken member reports the state BROKEN. The member is ordered
+    # to leave, and the list read just after that still holds this row.
     broken = builders.member(KEY, 0, model.MemberState.BROKEN)
     view = builders.view(builders.runner(1, 5, membership=OPEN), at_ms=1000)
     view.record_order("i-1", 3, None, 1500)
@@ -33,7 +33,7 @@
     assert view.known["i-1"].membership is None
 
 
-def test_row_that_changed_after_the_order_is_believed():
+def test_row_that_changed_after_the_order_is_applied():
     view = builders.view(builders.runner(1, 5), at_ms=1000)
     view.record_order("i-1", 1, JOINING, 1500)
     view.apply_list([builders.runner(1, 5)], 1600)
@@ -41,12 +41,12 @@
     assert view.known["i-1"].membership is None
 
 
-def test_load_that_ended_before_the_next_reading_is_seen():
-    """A host is told to load, and has done so when the list is read next.
+def test_load_that_ended_before_the_next_read_is_noticed():
+    """A host is ordered to load a model and is done before the next read.
 
-    Whether the row is older than the order nobody can tell; what it says of the
-    host is true all the same. Left unread, as nothing else changes in that row,
-    the spare was taken for one that loads for the rest of the day.
+    The row may be older than the order, but its staged models are valid in any
+    case. When they were ignored, the spare was taken to be loading for the rest
+    of the day, as nothing else in that row changed.
     """
     view = builders.view(builders.runner(1, 5), at_ms=1000)
     view.record_order("i-1", 1, None, 1500)
@@ -56,15 +56,15 @@
     assert view.known["i-1"].membership is None
 
 
-def test_same_group_goes_on_by_the_list():
+def test_list_advances_the_state_of_the_same_group():
     view = builders.view(builders.runner(1, 5), at_ms=1000)
     view.record_order("i-1", 1, JOINING, 1500)
     view.apply_list([builders.runner(1, 6, membership=READY)], 1510)
     assert view.known["i-1"].membership == READY
 
 
-def test_report_from_before_an_order_tells_only_that_the_runner_lives():
-    # A report tells what was true 200 ms ago.
+def test_report_from_before_an_order_shows_only_that_the_runner_is_alive():
+    # A report describes the state of 200 ms ago.
     view = builders.view(builders.runner(1, 5), at_ms=1000)
     view.record_no_answer("i-1", 1400)
     view.record_order("i-1", 1, JOINING, 1500)
@@ -75,13 +75,13 @@
     assert known.orders_begun == 1
 
 
-def test_older_list_is_left():
+def test_older_list_is_ignored():
     view = builders.view(builders.runner(1), at_ms=1000)
     assert not view.apply_list([], 900)
     assert view.known["i-1"].listed
 
 
-def test_runner_that_left_the_list_is_remembered_for_a_while():
+def test_runner_that_left_the_list_is_kept_for_a_while():
     view = builders.view(builders.runner(1), at_ms=1000)
     assert view.apply_list([], 2000) == [("i-1", "left the list")]
     assert not view.known["i-1"].is_usable
@@ -89,7 +89,7 @@
     assert "i-1" not in view.known
 
 
-def test_word_of_a_planner_opens_a_group_once():
+def test_report_of_a_planner_opens_a_group_once():
     view = builders.view(builders.runner(1, 5, membership=READY,
                                          served="large"))
     assert view.record_open_group("i-1", KEY, "large")
@@ -98,7 +98,7 @@
     assert group.is_open and group.model == "large"
 
 
-def test_word_of_a_planner_does_not_undo_a_later_group():
+def test_report_of_a_planner_does_not_replace_a_later_group():
     later = model.GroupKey("h", 9)
     place = builders.member(later, 0, model.MemberState.JOINING)
     view = builders.view(builders.runner(1, 5, membership=place))
@@ -111,11 +111,11 @@
                            membership=builders.member(KEY, 0, state))
 
 
-def test_head_that_finished_after_its_close_is_known_to():
-    """Its row says ready once more, between two readings of the list.
+def test_head_that_drained_after_its_close_is_noticed():
+    """The head's row returns to READY between two reads of the list.
 
-    Taken for a row of before the close, the group was waited for until its
-    time was over, and its members served nobody.
+    When it was taken for a row from before the close, the group was waited for
+    until the timeout, and its members served no requests.
     """
     view = builders.view(row(STATE.OPEN, 1), at_ms=1000)
     closing = builders.member(KEY, 0, STATE.CLOSING)
@@ -124,7 +124,7 @@
     assert view.known["i-1"].membership.state is STATE.READY
 
 
-def test_row_of_before_a_group_was_opened_does_not_end_its_close():
+def test_row_from_before_a_group_was_opened_does_not_end_its_close():
     view = builders.view(row(STATE.JOINING, 1), at_ms=1000)
     closing = builders.member(KEY, 0, STATE.CLOSING)
     view.record_order("i-1", 3, closing, 1500)
