--- a/cardamommill/gateway/eras.py
+++ b/cardamommill/gateway/eras.py
@@ -1,7 +1,7 @@
-"""The era of the platform's store, which rises when it is restored.
+"""Tracks the era of the platform's store, which rises with each restore.
 
-A store that was restored from a backup gives versions out a second time, so a
-version says nothing without the era in which it was given.
+A store that was restored from a backup assigns the same versions a second time,
+so that versions can be compared only within one era.
 """
 
 import asyncio
@@ -9,11 +9,11 @@
 
 
 class TablePosition(NamedTuple):
-    """How far a table is known.
+    """The point up to which the content of a table is known.
 
     Attributes:
-        era: Of the store.
-        version: The newest that was given out in that era.
+        era: Era of the store.
+        version: The newest known version of that era.
     """
 
     era: int
@@ -21,51 +21,54 @@
 
 
 class EraTracker:
-    """The newest era that any answer told of."""
+    """Keeps the newest era reported by any answer of the store or of peers."""
 
     def __init__(self) -> None:
         self._first: int | None = None
         self._newest = 0
-        # In the order in which they came.
-        self._waiting: dict[asyncio.Future[None], None] = {}
+        # A dict, so that waiters are woken in the order of their arrival.
+        self._waiters: dict[asyncio.Future[None], None] = {}
 
     @property
     def newest(self) -> int:
-        """The era in which the store is; 0 where none was told."""
+        """The current era of the store, or 0 if none was reported yet."""
         return self._newest
 
     @property
     def first(self) -> int:
-        """The era in which this node heard of the store first."""
+        """The first era that was reported to this node, or 0."""
         return self._first or 0
 
     def observe(self, era: int) -> bool:
-        """Takes the era of an answer; True where the store was restored."""
+        """Records the era of an answer; returns whether the store was restored.
+
+        The first era that is reported does not count as a restore.
+        """
         if self._first is None:
             self._first = self._newest = era
             return False
         if era <= self._newest:
             return False
         self._newest = era
-        for each in self._waiting:
+        for each in self._waiters:
             if not each.done():
                 each.set_result(None)
         return True
 
-    async def wait_for_newer(self, era: int, within_ms: float) -> bool:
-        """Returns once the store is in a newer era, or after a time.
+    async def wait_for_newer(self, era: int, timeout_ms: float) -> bool:
+        """Waits until the store is in a newer era, or until the timeout.
 
         Returns:
-            Whether it is.
+            Whether the store is in a newer era.
         """
         if self._newest > era:
             return True
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting[waiting] = None
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiters[waiter] = None
         try:
-            await asyncio.wait_for(waiting, within_ms / 1000)
+            await asyncio.wait_for(waiter, timeout_ms / 1000)
         except TimeoutError:
             return False
         finally:
-            del self._waiting[waiting]
+            del self._waiters[waiter]
         return True
--- a/cardamommill/gateway/peertables.py
+++ b/cardamommill/gateway/peertables.py
@@ -1,4 +1,4 @@
-"""Tables of the store as nodes pass them on to each other."""
+"""Passes tables of the store on from one node to another."""
 
 from collections.abc import Callable, Coroutine
 import dataclasses
@@ -21,36 +21,36 @@
 
 PATH = "/rows"
 _STEP = "peer rows"
-# A peer answers from its memory; one that has fallen silent is left for the
-# store soon, since what is known of leaving runners must stay young.
+# Peers answer from memory. One that does not answer is soon replaced by the
+# store, since leaving runners must be known without much delay.
 ANSWER_TIMEOUT_MS = 250.0
-# A peer that has just started may read its first copy within this.
+# How long a query waits for the first copy on a node that has just started.
 FIRST_COPY_TIMEOUT_MS = 200.0
-# The longest that anybody waits for news in one call.
+# Longest time for which a query is held while nothing changes.
 MAX_WAIT_MS = 2000.0
 
 _OK = 200
 _GONE = 410
-_UNREADY = 503
+_NOT_READY = 503
 
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class PeerNotReady(exceptions.StoreError):
-    """A peer has no copy of a table yet."""
+    """A peer has no usable copy of a table yet."""
 
 
 class PeerTableClient:
-    """The tables of one peer; asked like the store."""
+    """Reads tables from one peer, with the same methods as the store."""
 
     def __init__(self, pool: upstream.Pool, address: upstream.Address,
                  known: eras.EraTracker) -> None:
-        """Makes it.
+        """Initialises the client.
 
         Args:
-            pool: Connections.
-            address: Of the peer.
-            known: The store's eras; kept up to date.
+            pool: Connections to peers.
+            address: Address of the peer.
+            known: Updated with the store's era in each answer.
         """
         self._pool = pool
         self._address = address
@@ -61,18 +61,18 @@
         """Returns all rows of a table.
 
         Raises:
-            StoreError: No answer that can be used.
+            StoreError: There was no usable answer.
         """
         query = {"table": table, "era": self._eras.newest}
-        return await self._ask(query, ANSWER_TIMEOUT_MS)
+        return await self._fetch(query, ANSWER_TIMEOUT_MS)
 
     async def feed(self, table: str, after: eras.TablePosition,
                    wait_ms: int) -> storecalls.Rows:
-        """Returns what changed in a table, when something has.
+        """Returns the rows that changed, once there are any or at the timeout.
 
         Raises:
-            HistoryLost: The table must be read whole.
-            StoreError: No answer that can be used.
+            HistoryLost: The whole table must be read.
+            StoreError: There was no usable answer.
         """
         query = {
             "table": table,
@@ -80,42 +80,45 @@
             "after": after.version,
             "wait_ms": wait_ms
         }
-        rows = await self._ask(query, wait_ms + ANSWER_TIMEOUT_MS)
+        rows = await self._fetch(query, wait_ms + ANSWER_TIMEOUT_MS)
         if rows.era != after.era:
-            raise storecalls.Restored(f"era {rows.era} in place of {after.era}",
-                                      step=_STEP,
-                                      peer=self._peer)
+            raise storecalls.Restored(
+                f"got rows of era {rows.era}, expected era {after.era}",
+                step=_STEP,
+                peer=self._peer)
         return rows
 
-    async def _ask(self, query: dict[str, Any],
-                   timeout_ms: float) -> storecalls.Rows:
+    async def _fetch(self, query: dict[str, Any],
+                     timeout_ms: float) -> storecalls.Rows:
         request = fetching.request_bytes("GET",
                                          f"{PATH}?{parse.urlencode(query)}",
                                          [("Host", self._peer)])
         asked_ms = clock.now_ms()
         answer = await fetching.fetch(self._pool, self._address, request,
                                       timeout_ms)
-        if answer.head.status == _UNREADY:
-            raise PeerNotReady(f"status {_UNREADY}: not read yet",
-                               step=_STEP,
-                               peer=self._peer)
+        if answer.head.status == _NOT_READY:
+            raise PeerNotReady(
+                f"status {_NOT_READY}: peer has not read the table yet",
+                step=_STEP,
+                peer=self._peer)
         storecalls.check(answer, _STEP, self._peer)
-        rows = self._decoded(answer.body, asked_ms)
+        rows = self._decode(answer.body, asked_ms)
         self._eras.observe(rows.era)
         if rows.era < self._eras.newest:
-            raise PeerNotReady(f"of era {rows.era}, not {self._eras.newest}",
-                               step=_STEP,
-                               peer=self._peer)
+            raise PeerNotReady(
+                f"got rows of era {rows.era}, expected era {self._eras.newest}",
+                step=_STEP,
+                peer=self._peer)
         return rows
 
-    def _decoded(self, body: bytes, asked_ms: float) -> storecalls.Rows:
+    def _decode(self, body: bytes, asked_ms: float) -> storecalls.Rows:
         try:
             version, age_ms, rows, *era = msgpack.unpackb(body)
             found = tuple(
                 storecalls.Row(str(key), bytes(value), int(number), bool(gone))
                 for key, value, number, gone in rows)
-            # The peer answered after it was asked, so the time at which this
-            # was true is not later than this.
+            # The peer computes the age when the query arrives, after it was
+            # sent. So this time is never later than that of the data.
             return storecalls.Rows(found, int(version),
                                    asked_ms - float(age_ms),
                                    int(era[0]) if era else self._eras.first)
@@ -126,40 +129,40 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Question:
-    """What a follower asks.
+class _RowsQuery:
+    """A follower's query.
 
     Attributes:
-        after: The version up to which it knows all; None for none.
-        era: Of that version; None from a follower of the former format, which
-            is not told of eras.
-        wait_ms: How long it waits for news.
-        asked_ms: When it asked.
+        after: Version after which changes are wanted; None for all rows.
+        era: Era of that version; None from a follower that uses the previous
+            format, whose answers contain no era.
+        wait_ms: How long the query is held while nothing changes.
+        received_ms: When the query was received.
     """
 
     after: int | None
     era: int | None
     wait_ms: float
-    asked_ms: float
+    received_ms: float
 
-    def is_of_other_era(self, era: int) -> bool:
-        """Whether its version was given out in another era than this."""
+    def has_other_era(self, era: int) -> bool:
+        """Whether the query's version was assigned in another era than this."""
         return self.era is not None and self.era != era
 
 
-class _Waiting:
-    """An answer that waits for news."""
+class _PendingAnswer:
+    """A query that is held until there is an answer."""
 
     def __init__(self) -> None:
         self.left = False
 
     def caller_left(self) -> None:
-        """Notes that nobody waits any more."""
+        """Records that the follower has closed the connection."""
         self.left = True
 
 
 class PeerTableServer:
-    """Answers peers from this node's copies."""
+    """Answers queries of peers from this node's copies."""
 
     def __init__(self, copies: tablecopies.TableCopies, spawn: Spawn) -> None:
         self._copies = copies
@@ -167,12 +170,12 @@
 
     def on_request(self, request: callers.CallerRequest,
                    reply: replies.Reply) -> callers.ActiveRequest | None:
-        """Answers at once, or once there is news."""
+        """Answers a query, at once or when there are changes."""
         path, _, query = request.target.partition("?")
         fields = dict(parse.parse_qsl(query))
         try:
             name = fields["table"]
-            question = _Question(
+            rows_query = _RowsQuery(
                 int(fields["after"]) if "after" in fields else None,
                 int(fields["era"]) if "era" in fields else None,
                 min(MAX_WAIT_MS, float(fields.get("wait_ms", 0))),
@@ -184,62 +187,64 @@
             reply.send(404, [], b"no such page\n")
             return None
         table = self._copies.table(name)
-        if table.is_loaded and question.after is None:
-            _answer(reply, table, table.whole(), question)
+        if table.is_loaded and rows_query.after is None:
+            _answer(reply, table, table.whole(), rows_query)
             return None
-        waiting = _Waiting()
+        pending = _PendingAnswer()
         if table.is_loaded:
-            later = _answer_changes(reply, table, waiting, question)
+            later = _answer_changes(reply, table, pending, rows_query)
         else:
-            later = _answer_first(reply, table, waiting, question)
+            later = _answer_first_copy(reply, table, pending, rows_query)
         self._spawn(later)
-        return waiting
+        return pending
 
 
-async def _answer_first(reply: replies.Reply, table: tablecopies.TableCopy,
-                        waiting: _Waiting, question: _Question) -> None:
-    """Answers once there is a copy.
+async def _answer_first_copy(reply: replies.Reply, table: tablecopies.TableCopy,
+                             pending: _PendingAnswer,
+                             rows_query: _RowsQuery) -> None:
+    """Waits for this node's first copy and answers with it.
 
-    Of nodes that start together those that read are no sooner than those that
-    follow them; told that there is nothing yet, all turned to the store.
+    When nodes start together, followers query a reader before it has a copy.
+    When they were refused at once, all of them turned to the store.
     """
     await table.wait_for_change(FIRST_COPY_TIMEOUT_MS)
-    if waiting.left:
+    if pending.left:
         return
     if table.is_loaded:
-        _answer(reply, table, table.whole(), question)
+        _answer(reply, table, table.whole(), rows_query)
     else:
-        reply.send(_UNREADY, [], b"not read yet\n")
+        reply.send(_NOT_READY, [], b"not read yet\n")
 
 
 async def _answer_changes(reply: replies.Reply, table: tablecopies.TableCopy,
-                          waiting: _Waiting, question: _Question) -> None:
-    until_ms = question.asked_ms + question.wait_ms
-    while not waiting.left:
-        rows = table.changes_since(question.after or 0)
-        if rows is None or question.is_of_other_era(table.era):
+                          pending: _PendingAnswer,
+                          rows_query: _RowsQuery) -> None:
+    until_ms = rows_query.received_ms + rows_query.wait_ms
+    while not pending.left:
+        rows = table.changes_since(rows_query.after or 0)
+        if rows is None or rows_query.has_other_era(table.era):
             reply.send(_GONE, [], b"forgotten\n")
             return
-        left_ms = until_ms - clock.now_ms()
-        if rows or left_ms <= 0:
-            _answer(reply, table, rows, question)
+        remaining_ms = until_ms - clock.now_ms()
+        if rows or remaining_ms <= 0:
+            _answer(reply, table, rows, rows_query)
             return
-        await table.wait_for_change(left_ms)
+        await table.wait_for_change(remaining_ms)
 
 
 def _answer(reply: replies.Reply, table: tablecopies.TableCopy,
-            rows: tuple[storecalls.Row, ...], question: _Question) -> None:
-    """Answers with rows, and their age as of the question.
+            rows: tuple[storecalls.Row, ...], rows_query: _RowsQuery) -> None:
+    """Answers with rows and their age at the time when the query was received.
 
-    The asker dates them by its question, which came here no sooner: by their
-    age as of the answer, the time that it waited here made them that much too
-    old, and followers left sound readers.
+    The follower subtracts the age from the time at which it sent the query.
+    With the age at the time of the answer, data appeared older by the time for
+    which the query was held, and followers abandoned working readers.
     """
     told = [
-        table.version, question.asked_ms - table.as_of_ms,
+        table.version, rows_query.received_ms - table.as_of_ms,
         [[each.key, each.value, each.version, each.deleted] for each in rows]
     ]
-    if question.era is not None:
+    if rows_query.era is not None:
         told.append(table.era)
     body = msgpack.packb(told)
     reply.send(_OK, [("Content-Type", "application/msgpack")], body)
--- a/cardamommill/gateway/sourceselector.py
+++ b/cardamommill/gateway/sourceselector.py
@@ -1,9 +1,10 @@
-"""Decides whether a node asks the store or a peer for the store's tables.
+"""Selects the store or a peer as the source from which a table is read.
 
-The store has a bound for all nodes together, and each call is paid for. So a
-few nodes of a data centre read the list and the configuration, and the others
-ask these, which answer with the age of what they tell. Whoever is turned away
-by the store asks a peer that has confirmed the configuration of late.
+The store limits the rate of calls from all nodes together, and each call is
+charged for. So only a few nodes of a data centre, its readers, read the runner
+list and the configuration from the store. The other nodes, the followers, read
+from these, which answer with the age of their data. A node that the store
+refuses reads from a peer that has recently confirmed the configuration.
 """
 
 from collections.abc import Iterable
@@ -13,29 +14,32 @@
 
 from cardamommill.gateway import peers
 
-# One may die while the other still reads.
+# Two, so that one still reads if the other fails.
 READERS_PER_DATA_CENTRE = 2
-# The store is left after this many failures in a row and asked again so long
-# after the last, later where many have lost it; a peer is left after one.
+# After this many failures in a row a node stops reading from the store. It
+# retries STORE_RETRY_MS after the last failure, or later if many nodes have
+# lost the store. A peer is abandoned after one failure, for PEER_RETRY_MS.
 STORE_FAILURE_LIMIT = 2
 STORE_RETRY_MS = 1500.0
 PEER_RETRY_MS = 3000.0
-# Whoever lost the store reads for nobody for so long, unless all have lost it.
+# A node that has lost the store is not a reader for this long, unless all nodes
+# have lost it.
 STORE_LOST_MS = 30_000.0
-# Of peers that confirmed the configuration within this the nearest is asked, as
-# bytes between data centres are dear; others know no more than this node does.
+# Without the store, only peers that confirmed the configuration within this
+# time are read from, since others know no more than this node does. Of these
+# the nearest is chosen, as traffic between data centres is expensive.
 MAX_CONFIRMATION_AGE_MS = 1500.0
 
-# Whether a node lost the store, its name, and where it is.
-_Near = tuple[bool, str, peers.Address]
+# Whether a node of this data centre has lost the store, its name and address.
+_NearNode = tuple[bool, str, peers.Address]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Whom to ask.
+    """The store or a peer, from which a table can be read.
 
     Attributes:
-        peer: The address of a node; None for the store.
+        peer: The address of a peer; None for the store.
     """
 
     peer: peers.Address | None = None
@@ -46,14 +50,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Failures:
-    """How often a source gave no answer in a row, and when it last did."""
+    """Number of consecutive failures of a source, and the time of the last."""
 
     count: int = 0
     last_ms: float = float("-inf")
 
 
 class SourceSelector:
-    """Keeps who failed of late, for one table."""
+    """Selects the source of one table, based on recent failures."""
 
     def __init__(self, node: str, others: peers.Peers) -> None:
         self._node = node
@@ -61,67 +65,70 @@
         self._failures: dict[Source, _Failures] = {}
 
     def failed(self, source: Source, now_ms: float) -> None:
-        """Notes that a source gave no answer that can be used."""
+        """Records that a source gave no usable answer."""
         failures = self._failures.setdefault(source, _Failures())
         failures.count += 1
         failures.last_ms = now_ms
 
     def succeeded(self, source: Source) -> None:
-        """Notes an answer."""
+        """Records that a source gave a usable answer."""
         self._failures.pop(source, None)
 
     @property
     def has_store_failed(self) -> bool:
-        """Whether the store's last answer to this node was none."""
+        """Whether this node's last call to the store failed."""
         return STORE in self._failures
 
     @property
     def is_store_lost(self) -> bool:
-        """Whether the store failed more than once in a row.
+        """Whether the last calls to the store failed, more than one in a row.
 
-        One lost answer of a feed says little: asked again, the store answers
-        in some ms. Left at once for peers, which had lost theirs as well, all
-        nodes refused all keys for 0.6 s.
+        After a single lost answer of a feed, the store answers a retry within
+        some ms. When nodes turned to peers at once, which had lost their
+        answers as well, all of them rejected all keys for 0.6 s.
         """
         failures = self._failures.get(STORE)
         return failures is not None and failures.count >= STORE_FAILURE_LIMIT
 
     def has_lost_store(self, now_ms: float) -> bool:
-        """Whether the store failed this node of late, more than once."""
-        return self.is_store_lost and self._failed_lately(
+        """Whether the store is lost and its last failure is recent."""
+        return self.is_store_lost and self._has_failed_recently(
             STORE, now_ms, STORE_LOST_MS)
 
     def choose(self, now_ms: float) -> Source:
-        """Returns whom to ask now."""
-        near = self._near(now_ms)
+        """Returns the source to read from now."""
+        near = self._near_nodes(now_ms)
         reader = self._reader(near, now_ms)
-        if self.is_store_lost and self._failed_lately(
-                STORE, now_ms, self._store_again_ms(near)):
-            # A reader that is cut off too has nothing new, but asking it costs
-            # nothing: of eighty nodes each would call the store all the while.
-            return self._young(now_ms) or reader or STORE
-        if reader is None or self._failed_lately(reader, now_ms, PEER_RETRY_MS):
+        if self.is_store_lost and self._has_failed_recently(
+                STORE, now_ms, self._store_retry_ms(near)):
+            # A reader that has lost the store too has no new data, but asking
+            # it is free. Otherwise each of eighty nodes would keep calling the
+            # store throughout an outage.
+            return self._recently_confirmed(now_ms) or reader or STORE
+        if reader is None or self._has_failed_recently(reader, now_ms,
+                                                       PEER_RETRY_MS):
             return STORE
         return reader
 
-    def _failed_lately(self, source: Source, now_ms: float,
-                       for_ms: float) -> bool:
+    def _has_failed_recently(self, source: Source, now_ms: float,
+                             for_ms: float) -> bool:
         failures = self._failures.get(source)
         return failures is not None and now_ms - failures.last_ms < for_ms
 
-    def _near(self, now_ms: float) -> list[_Near]:
-        """Returns the living nodes of this data centre."""
+    def _near_nodes(self, now_ms: float) -> list[_NearNode]:
+        """Returns the live peers in this data centre."""
         return [(each.last_message.has_lost_store, each.last_message.node,
                  each.address)
                 for each in self._peers.live_peers(now_ms)
                 if each.last_message and each.is_near]
 
-    def _store_again_ms(self, near: list[_Near]) -> float:
-        """Returns when a node that lost the store asks it again.
+    def _store_retry_ms(self, near: list[_NearNode]) -> float:
+        """Returns how long after the last failure the store is called again.
 
-        Where all of a data centre have lost it, each asks so seldom that all
-        together ask little more than its readers: eighty nodes called the
-        store fifty times a second for as long as it was away.
+        If all nodes of a data centre have lost the store, each calls it so
+        rarely that together they make few more calls than its readers. At a
+        fixed interval, eighty nodes called the store fifty times a second
+        throughout an outage.
         """
         if sum(name < self._node
                for _, name, _ in near) < READERS_PER_DATA_CENTRE:
@@ -129,15 +136,17 @@
         return STORE_RETRY_MS * max(1.0, (1 + len(near)) /
                                     (1 + READERS_PER_DATA_CENTRE))
 
-    def _reader(self, near: list[_Near], now_ms: float) -> Source | None:
-        """Returns the reader that this node follows; None for a reader.
+    def _reader(self, near: list[_NearNode], now_ms: float) -> Source | None:
+        """Returns the reader that this node follows, or None if it is a reader.
 
-        The first by name read, of those that have not lost the store: the
-        followers of one that had heard too late that runners leave, or asked
-        the store each for itself. Each follows only nodes before it in that
-        order, so that no two follow each other for longer than it takes to
-        hear who lost the store. A planner reads for itself: it waits for news
-        of its members.
+        Readers are the first nodes by name among those that have not lost the
+        store. Followers of a node that has lost it would learn too late that
+        runners are leaving, or would each call the store on their own.
+
+        A node follows only nodes before it in that order. So two nodes can
+        follow each other only until they learn which of them lost the store.
+        A node that plans always reads from the store, because it waits for
+        changes of the members of its groups.
         """
         if self._peers.is_planner:
             return None
@@ -145,37 +154,38 @@
         readers = heapq.nsmallest(READERS_PER_DATA_CENTRE, near)
         if len(readers) < READERS_PER_DATA_CENTRE or own < readers[-1][:2]:
             return None
-        mine = zlib.crc32(self._node.encode()) % READERS_PER_DATA_CENTRE
-        return Source(readers[mine][-1])
+        index = zlib.crc32(self._node.encode()) % READERS_PER_DATA_CENTRE
+        return Source(readers[index][-1])
 
     def peer_with_newer(self, version: int, now_ms: float) -> Source | None:
-        """Returns the nearest peer with a newer configuration in force."""
+        """Returns the nearest peer that uses a newer configuration, if any."""
         return self._nearest(
             ((each, now_ms - each.heard_ms)
              for each in self._peers.live_peers(now_ms)
              if each.last_message and each.last_message.config_version > version
             ), now_ms)
 
-    def _young(self, now_ms: float) -> Source | None:
-        """Returns the nearest peer that confirmed the configuration of late."""
-        aged = ((each, each.last_message.config_confirmed_age_ms + now_ms -
-                 each.heard_ms)
-                for each in self._peers.live_peers(now_ms)
-                if each.last_message)
+    def _recently_confirmed(self, now_ms: float) -> Source | None:
+        """Returns the nearest peer with a recently confirmed configuration."""
+        peers_with_age = ((each, each.last_message.config_confirmed_age_ms +
+                           now_ms - each.heard_ms)
+                          for each in self._peers.live_peers(now_ms)
+                          if each.last_message)
         return self._nearest(((each, age_ms)
-                              for each, age_ms in aged
+                              for each, age_ms in peers_with_age
                               if age_ms < MAX_CONFIRMATION_AGE_MS), now_ms)
 
-    def _nearest(self, aged: Iterable[tuple[peers.Peer, float]],
+    def _nearest(self, peers_with_age: Iterable[tuple[peers.Peer, float]],
                  now_ms: float) -> Source | None:
-        """Returns the nearest peer that has not failed of late.
+        """Returns the nearest peer that has not failed recently, if any.
 
         Args:
-            aged: Peers, each with its age in ms; of those as near the youngest.
-            now_ms: The time.
+            peers_with_age: Peers, each with the age of its data in ms; of
+                equally near ones the one with the lowest age is returned.
+            now_ms: The current time.
         """
-        found = [
-            (not each.is_near, age_ms, each.address) for each, age_ms in aged if
-            not self._failed_lately(Source(each.address), now_ms, PEER_RETRY_MS)
-        ]
+        found = [(not each.is_near, age_ms, each.address)
+                 for each, age_ms in peers_with_age
+                 if not self._has_failed_recently(Source(each.address), now_ms,
+                                                  PEER_RETRY_MS)]
         return Source(min(found)[-1]) if found else None
--- a/cardamommill/gateway/tablecopies.py
+++ b/cardamommill/gateway/tablecopies.py
@@ -1,4 +1,4 @@
-"""This node's copy of the store's tables, with what changed in them of late."""
+"""This node's copies of the store's tables, with their recent changes."""
 
 import asyncio
 from collections import deque
@@ -7,31 +7,35 @@
 from cardamommill.gateway import eras
 from cardamommill.platform import storecalls
 
-# Who follows a copy asks several times a second; of a burst of changes this
-# many are kept for whoever was held up.
+# Peers that follow a copy query it several times a second. The history must
+# cover a burst of changes for those that were delayed.
 MAX_KEPT_CHANGES = 2000
 
 
 class TableCopy:
-    """One table as of the newest answer about it."""
+    """A copy of one table as of the newest answer about it."""
 
     def __init__(self) -> None:
         self.version = 0
-        # Of the store, in which all versions here were given out.
+        # Era of the store in which all versions of this copy were assigned.
         self.era = 0
         self.as_of_ms = float("-inf")
         self._rows: dict[str, storecalls.Row] = {}
         self._changes: deque[storecalls.Row] = deque()
-        # All that changed after this version is kept.
-        self._kept_from = 0
-        # In the order in which they came.
-        self._waiting: dict[asyncio.Future[None], None] = {}
+        # The history holds all changes after this version.
+        self._history_start = 0
+        # A dict, so that waiters are woken in the order of their arrival.
+        self._waiters: dict[asyncio.Future[None], None] = {}
 
     def apply_rows(self, rows: storecalls.Rows, whole: bool) -> None:
-        """Takes an answer: the whole table, or what changed in it.
+        """Applies an answer to the copy.
 
-        One that is older than the copy only says less; it is left. So is what
-        changed in an era of which the copy does not hold the beginning.
+        An answer that is older than the copy is ignored, since it adds nothing.
+        So are changes of an era for which the copy has no whole table.
+
+        Args:
+            rows: The whole table, or the rows that changed.
+            whole: Whether it is the whole table.
         """
         if rows.position < self.position:
             return
@@ -40,46 +44,47 @@
             return
         is_first = is_new_era or not self.is_loaded
         if is_new_era:
-            self._begin_era(rows.era)
+            self._start_era(rows.era)
         if is_first:
-            self._kept_from = rows.version
-        changes = self._news(rows) if whole else rows.rows
+            self._history_start = rows.version
+        changes = self._changes_to(rows) if whole else rows.rows
         self.version = rows.version
         self.as_of_ms = max(self.as_of_ms, rows.as_of_ms)
         for row in changes:
-            # One without a version of its own changed by that of the answer.
+            # A row without a version, such as a deleted one, changed no later
+            # than the version of the answer.
             version = row.version or rows.version
             self._change(dataclasses.replace(row, version=version))
         if changes or is_first:
-            self._wake()
+            self._wake_waiters()
 
     @property
     def is_loaded(self) -> bool:
-        """Whether any answer was taken."""
+        """Whether any answer was applied."""
         return self.as_of_ms > float("-inf")
 
     @property
     def position(self) -> eras.TablePosition:
-        """How far this copy is known."""
+        """The era and version of this copy."""
         return eras.TablePosition(self.era, self.version)
 
-    def _begin_era(self, era: int) -> None:
-        """Drops all that was said in the last era.
+    def _start_era(self, era: int) -> None:
+        """Drops all rows and changes of the previous era.
 
-        Versions are given out again: what a follower knows by its version may
-        be another row by now, so each reads the copy whole.
+        The store assigns the same versions again, so a version that a follower
+        knows may stand for another row now. Followers read the whole copy.
         """
         self.era = era
         self.version = 0
         self._rows.clear()
         self._changes.clear()
 
-    def _news(self, rows: storecalls.Rows) -> tuple[storecalls.Row, ...]:
-        """Returns what a whole table says that the copy does not.
+    def _changes_to(self, rows: storecalls.Rows) -> tuple[storecalls.Row, ...]:
+        """Returns the changes that turn the copy into the given whole table.
 
-        Whoever follows the copy goes on from where it was: made to read it
-        whole after each whole reading, eighty nodes passed 0.2 GB between data
-        centres during one outage of the store.
+        With these, followers can continue from their position. When each whole
+        read made all followers read the whole copy, eighty nodes sent 0.2 GB
+        between data centres during one outage of the store.
         """
         named = {each.key for each in rows.rows}
         gone = [
@@ -97,47 +102,52 @@
             self._rows[row.key] = row
         self._changes.append(row)
         if len(self._changes) > MAX_KEPT_CHANGES:
-            self._kept_from = self._changes.popleft().version
+            self._history_start = self._changes.popleft().version
 
     def whole(self) -> tuple[storecalls.Row, ...]:
         """Returns all rows."""
         return tuple(self._rows.values())
 
     def changes_since(self, version: int) -> tuple[storecalls.Row, ...] | None:
-        """Returns what changed after a version; None where that is forgotten.
+        """Returns the rows that changed after a version.
 
-        A copy that is older than the version has no news.
+        Returns:
+            None if the history does not reach back to the version. Empty if the
+            copy is older than the version.
         """
-        if version < self._kept_from:
+        if version < self._history_start:
             return None
         newest = {
             each.key: each for each in self._changes if each.version > version
         }
         return tuple(newest.values())
 
-    async def wait_for_change(self, within_ms: float) -> None:
-        """Returns at the next change, or after a time without any."""
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting[waiting] = None
+    async def wait_for_change(self, timeout_ms: float) -> None:
+        """Waits until the next change, or until the timeout."""
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiters[waiter] = None
         try:
-            await asyncio.wait_for(waiting, max(0.0, within_ms) / 1000)
+            await asyncio.wait_for(waiter, max(0.0, timeout_ms) / 1000)
         except TimeoutError:
             return
         finally:
-            del self._waiting[waiting]
+            del self._waiters[waiter]
 
-    def _wake(self) -> None:
-        for each in self._waiting:
+    def _wake_waiters(self) -> None:
+        for each in self._waiters:
             if not each.done():
                 each.set_result(None)
 
 
 class TableCopies:
-    """The tables that a node follows, by name."""
+    """The copies of all tables that a node reads, by name."""
 
     def __init__(self) -> None:
         self._tables: dict[str, TableCopy] = {}
 
     def table(self, name: str) -> TableCopy:
-        """Returns the copy of a table; empty, of version 0, before any news."""
+        """Returns the copy of a table, which is empty before the first answer.
+
+        The version of an empty copy is 0.
+        """
         return self._tables.setdefault(name, TableCopy())
--- a/cardamommill/gateway/tablereader.py
+++ b/cardamommill/gateway/tablereader.py
@@ -1,4 +1,4 @@
-"""Reads a table of the store where `sourceselector` says, keeping a copy."""
+"""Reads a table from the source that `sourceselector` selects; keeps a copy."""
 
 import dataclasses
 import math
@@ -16,11 +16,11 @@
 )
 from cardamommill.platform import storecalls
 
-# A peer is asked to wait for news for this long: each answer says anew how old
-# what it tells is, and a dead one is noticed so much later.
+# Longest time for which a peer may hold a query while nothing changes. Each
+# answer updates the age of the data; a dead peer is noticed this much later.
 PEER_WAIT_MS = 450
-# ... and sooner, but for this long at least, where what was told is nearly too
-# old: a peer that is cut off is left as soon as it is.
+# The wait is shortened, but not below this, when the copy is nearly too old, so
+# that a peer that has lost the store is abandoned as soon as its data is.
 PEER_MIN_WAIT_MS = 50.0
 
 _LOG = logbook.Logger("platform")
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadResult:
-    """What a reading told.
+    """Result of one read of a table.
 
     Attributes:
-        rows: The whole table, or what changed in it.
-        whole: Which of both.
-        was_restored: Whether the store was restored since the last reading.
+        rows: The whole table, or the rows that changed.
+        whole: Whether it is the whole table.
+        was_restored: Whether the store was restored since the last read.
     """
 
     rows: storecalls.Rows
@@ -42,135 +42,137 @@
 
 
 class TableReader:
-    """One table, whoever tells of it."""
+    """Reads one table from the store or from peers."""
 
     def __init__(self, store: storecalls.Store, pool: upstream.Pool,
                  choice: sourceselector.SourceSelector, name: str,
                  copy: tablecopies.TableCopy) -> None:
-        """Makes it.
+        """Initialises the reader.
 
         Args:
-            store: Asked by this node itself.
+            store: The store, for reads without a peer.
             pool: Connections to peers.
-            choice: Whom to ask.
-            name: The table.
-            copy: Takes what was read; peers are answered from it.
+            choice: Selects the source of each read.
+            name: Name of the table.
+            copy: Updated with each read; peers are served from it.
         """
         self._store = store
         self._pool = pool
         self._choice = choice
         self._name = name
         self._copy = copy
-        self._last = sourceselector.STORE
-        # Up to where all is known; None where the whole is needed.
-        self._known: eras.TablePosition | None = None
-        # Of the last reading; None before the first.
+        self._last_source = sourceselector.STORE
+        # All changes up to here are known; None if the next read must be whole.
+        self._known_position: eras.TablePosition | None = None
+        # Era of the last read; None before the first.
         self._era: int | None = None
 
     @property
     def is_reading_store(self) -> bool:
-        """Whether the store itself was asked last."""
-        return self._last == sourceselector.STORE
+        """Whether the last read was from the store itself."""
+        return self._last_source == sourceselector.STORE
 
     def has_lost_store(self, now_ms: float) -> bool:
-        """Whether the store failed this node of late, more than once."""
+        """Whether the store is lost and its last failure is recent."""
         return self._choice.has_lost_store(now_ms)
 
-    async def read(self, wait_ms: int, oldest_ms: float) -> ReadResult:
-        """Returns the table, and later what changed in it, when something has.
+    async def read(self, wait_ms: int, max_age_ms: float) -> ReadResult:
+        """Reads the whole table at first, and then its changes.
 
         Args:
-            wait_ms: How long the store waits for news.
-            oldest_ms: How old a peer's copy may be.
+            wait_ms: How long the store holds a query while nothing changes.
+            max_age_ms: Maximum age of a peer's copy.
 
         Raises:
-            HistoryLost: The next reading will be whole.
-            StoreError: No answer that can be used.
+            HistoryLost: The next read will be whole.
+            StoreError: There was no usable answer.
         """
         source = self._choice.choose(clock.now_ms())
-        self._note(source)
-        after = self._known
+        self._log_source_change(source)
+        after = self._known_position
         if source.peer is None and self._choice.has_store_failed:
-            # A feed without news is answered only at its end, and until then
-            # no key could be trusted; the whole table comes at once. A peer
-            # answers often, and goes on from what is known: it passed whole
-            # tables between data centres for as long as a cut lasted.
+            # A feed without changes is answered only at the end of its wait,
+            # and until then no key could be trusted. A whole read is answered
+            # at once. Peers answer often, so their feed is continued: whole
+            # reads from them sent whole tables between data centres for as
+            # long as a network partition lasted.
             after = None
-        return await self._read_from(source, after, wait_ms, oldest_ms)
+        return await self._read_from(source, after, wait_ms, max_age_ms)
 
     async def _read_from(self, source: sourceselector.Source,
                          after: eras.TablePosition | None, wait_ms: int,
-                         oldest_ms: float) -> ReadResult:
+                         max_age_ms: float) -> ReadResult:
         try:
-            rows = await self._ask(source, after, wait_ms, oldest_ms)
+            rows = await self._fetch(source, after, wait_ms, max_age_ms)
         except storecalls.HistoryLost:
-            self._known = None
+            self._known_position = None
             raise
         except peertables.PeerNotReady:
-            # It reads on; asked by each of its followers in its place, the
-            # store gave the whole list once for each node of a fleet.
+            # Not counted as a failure, since the peer is still reading. When
+            # its followers turned to the store instead, the store sent the
+            # whole list once to each node of the fleet.
             raise
         except exceptions.StoreError:
             self._choice.failed(source, clock.now_ms())
             raise
         self._choice.succeeded(source)
-        # A peer may tell of an older time than who was asked before it.
-        self._known = max(after or rows.position, rows.position)
+        # A peer's copy may be older than that of the previous source.
+        self._known_position = max(after or rows.position, rows.position)
         self._copy.apply_rows(rows, whole=after is None)
         was_restored = self._era not in (None, rows.era)
         self._era = rows.era
         return ReadResult(rows, after is None, was_restored)
 
     async def read_newer_from_peer(self, version: int) -> ReadResult | None:
-        """Returns at once what a peer tells that has a newer configuration.
+        """Reads, without waiting, from a peer that has a newer configuration.
 
         Args:
-            version: The configuration in force here.
+            version: Version of the configuration that this node uses.
 
         Returns:
-            None where no such peer is known.
+            None if no such peer is known.
 
         Raises:
-            HistoryLost: The next reading will be whole.
-            StoreError: No answer that can be used.
+            HistoryLost: The next read will be whole.
+            StoreError: There was no usable answer.
         """
         source = self._choice.peer_with_newer(version, clock.now_ms())
         if source is None:
             return None
-        return await self._read_from(source, self._known, 0, math.inf)
+        return await self._read_from(source, self._known_position, 0, math.inf)
 
-    async def _ask(self, source: sourceselector.Source,
-                   after: eras.TablePosition | None, wait_ms: int,
-                   oldest_ms: float) -> storecalls.Rows:
-        asked: storecalls.Store | peertables.PeerTableClient = self._store
+    async def _fetch(self, source: sourceselector.Source,
+                     after: eras.TablePosition | None, wait_ms: int,
+                     max_age_ms: float) -> storecalls.Rows:
+        target: storecalls.Store | peertables.PeerTableClient = self._store
         if source.peer is not None:
-            asked = peertables.PeerTableClient(self._pool, source.peer,
-                                               self._store.eras)
-            left_ms = oldest_ms - (clock.now_ms() - self._copy.as_of_ms)
+            target = peertables.PeerTableClient(self._pool, source.peer,
+                                                self._store.eras)
+            remaining_ms = max_age_ms - (clock.now_ms() - self._copy.as_of_ms)
             wait_ms = int(
-                min(wait_ms, PEER_WAIT_MS, max(PEER_MIN_WAIT_MS, left_ms)))
+                min(wait_ms, PEER_WAIT_MS, max(PEER_MIN_WAIT_MS, remaining_ms)))
         if after is not None:
-            rows = await asked.feed(self._name, after, wait_ms)
+            rows = await target.feed(self._name, after, wait_ms)
         else:
-            rows = await asked.table(self._name)
+            rows = await target.table(self._name)
         if source.peer is not None:
-            _refuse_old(rows, oldest_ms, source.peer)
+            _check_age(rows, max_age_ms, source.peer)
         return rows
 
-    def _note(self, source: sourceselector.Source) -> None:
-        if self._last == source:
+    def _log_source_change(self, source: sourceselector.Source) -> None:
+        if self._last_source == source:
             return
-        self._last = source
+        self._last_source = source
         _LOG.info(
             logs.line("table-source",
                       table=self._name,
                       source=source.peer[0] if source.peer else "store"))
 
 
-def _refuse_old(rows: storecalls.Rows, oldest_ms: float,
-                peer: upstream.Address) -> None:
+def _check_age(rows: storecalls.Rows, max_age_ms: float,
+               peer: upstream.Address) -> None:
     age_ms = clock.now_ms() - rows.as_of_ms
-    if age_ms > oldest_ms:
-        raise exceptions.StoreError(f"{age_ms:.0f} ms old",
+    if age_ms > max_age_ms:
+        raise exceptions.StoreError(f"copy too old: {age_ms:.0f} ms",
                                     step="peer rows",
                                     peer=peer[0])
--- a/tests/gateway/test_peertables.py
+++ b/tests/gateway/test_peertables.py
@@ -1,4 +1,4 @@
-"""Tests of tables that nodes pass on to each other."""
+"""Tests of how nodes pass tables of the store on to each other."""
 
 import asyncio
 
@@ -26,8 +26,8 @@
     return storecalls.Row(key, b"v", version)
 
 
-def served(script):
-    """Plays a script on a peer whose copy of table t was read a while ago."""
+def run_with_peer(script):
+    """Runs a script with a peer whose copy of table t is AGE_MS old."""
 
     async def main():
         copies = tablecopies.TableCopies()
@@ -46,38 +46,38 @@
         return loop.run_until_complete(main())
 
 
-def test_what_is_passed_on_is_dated_no_later_than_it_was_true():
+def test_time_of_passed_on_rows_is_not_later_than_that_of_the_copy():
 
     async def script(table, pool):
         rows = await peertables.PeerTableClient(pool, ADDRESS,
                                                 eras.EraTracker()).table("t")
         return rows, table.as_of_ms
 
-    rows, as_of_ms = served(script)
+    rows, as_of_ms = run_with_peer(script)
     assert [each.key for each in rows.rows] == ["a"]
     assert rows.version == 5
     assert as_of_ms - 50 < rows.as_of_ms <= as_of_ms
 
 
-def test_follower_hears_of_a_change_at_once():
+def test_follower_receives_a_change_at_once():
 
     async def script(table, pool):
         peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
-        asking = asyncio.get_running_loop().create_task(
+        query = asyncio.get_running_loop().create_task(
             peer.feed("t", eras.TablePosition(0, 5), wait_ms=1000))
         await asyncio.sleep(0.2)
         table.apply_rows(storecalls.Rows((row("b", 6),), 6, clock.now_ms()),
                          False)
         began_ms = clock.now_ms()
-        rows = await asking
+        rows = await query
         return rows, clock.now_ms() - began_ms
 
-    rows, took_ms = served(script)
+    rows, took_ms = run_with_peer(script)
     assert [each.key for each in rows.rows] == ["b"]
     assert took_ms < 20
 
 
-def test_answer_without_news_comes_after_the_wait_and_is_as_old_as_the_copy():
+def test_answer_without_changes_comes_after_the_wait_with_the_age_of_the_copy():
 
     async def script(table, pool):
         rows = await peertables.PeerTableClient(
@@ -86,32 +86,32 @@
                                                    wait_ms=400)
         return rows, clock.now_ms() - rows.as_of_ms
 
-    rows, age_ms = served(script)
+    rows, age_ms = run_with_peer(script)
     assert not rows.rows
     assert age_ms >= AGE_MS + 400
 
 
-def test_answer_that_waited_is_no_older_than_it_is():
-    """Its copy was confirmed while it waited.
+def test_answer_that_was_held_is_not_taken_to_be_older_than_its_copy():
+    """The copy is confirmed while the query is held.
 
-    Dated by the question alone, an answer to a question of half a second ago
-    was taken for that much older.
+    When the follower subtracted the age at the answer from the time of its
+    query, an answer held for half a second appeared that much older.
     """
 
     async def script(table, pool):
         peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
-        asking = asyncio.get_running_loop().create_task(
+        query = asyncio.get_running_loop().create_task(
             peer.feed("t", eras.TablePosition(0, 5), wait_ms=400))
         await asyncio.sleep(0.3)
         table.apply_rows(storecalls.Rows((), 5, clock.now_ms()), False)
-        rows = await asking
+        rows = await query
         return rows.as_of_ms, table.as_of_ms
 
-    as_of_ms, confirmed_ms = served(script)
+    as_of_ms, confirmed_ms = run_with_peer(script)
     assert confirmed_ms - 20 < as_of_ms <= confirmed_ms
 
 
-def test_version_from_before_the_copy_is_lost_history():
+def test_query_from_before_the_history_raises_history_lost():
 
     async def script(table, pool):
         del table
@@ -119,11 +119,11 @@
             "t", eras.TablePosition(0, 2), wait_ms=100)
 
     with pytest.raises(storecalls.HistoryLost):
-        served(script)
+        run_with_peer(script)
 
 
-def test_table_that_the_peer_has_not_read_is_no_empty_table():
-    """Taken for empty, all runners would have left at once."""
+def test_table_that_the_peer_has_not_read_is_not_taken_for_empty():
+    """If it were, all runners would appear to have left at once."""
 
     async def script(table, pool):
         del table
@@ -131,23 +131,23 @@
                                          eras.EraTracker()).table("other")
 
     with pytest.raises(exceptions.StoreError, match="503"):
-        served(script)
+        run_with_peer(script)
 
 
 @pytest.mark.parametrize("target,status", [("/rows", 400),
                                            ("/rows?table=t&after=x", 400),
                                            ("/other?table=t", 404)])
-def test_question_that_makes_no_sense_is_refused(target, status):
+def test_malformed_query_is_refused(target, status):
 
     async def script(table, pool):
         del table
         request = fetching.request_bytes("GET", target, [("Host", "peer")])
         return await fetching.fetch(pool, ADDRESS, request, 500.0)
 
-    assert served(script).head.status == status
+    assert run_with_peer(script).head.status == status
 
 
-def test_peer_that_does_not_answer_is_left_in_time():
+def test_query_to_an_unresponsive_peer_times_out():
 
     async def script(table, pool):
         del table
@@ -158,10 +158,10 @@
             await silent.feed("t", eras.TablePosition(0, 5), wait_ms=450)
         return clock.now_ms() - began_ms
 
-    assert served(script) < 450 + peertables.ANSWER_TIMEOUT_MS + 20
+    assert run_with_peer(script) < 450 + peertables.ANSWER_TIMEOUT_MS + 20
 
 
-def test_follower_reads_whole_once_its_peer_has_a_newer_era():
+def test_follower_must_read_whole_after_its_peer_enters_a_newer_era():
 
     async def script(table, pool):
         known = eras.EraTracker()
@@ -174,11 +174,11 @@
         after = await peer.table("t")
         return before.position, after.position, known.newest
 
-    before, after, newest = served(script)
+    before, after, newest = run_with_peer(script)
     assert (before, after, newest) == ((0, 5), (1, 4), 1)
 
 
-def test_peer_that_has_not_heard_of_the_restore_is_not_followed():
+def test_peer_still_in_the_era_before_a_restore_is_not_followed():
 
     async def script(table, pool):
         del table
@@ -188,10 +188,10 @@
         await peertables.PeerTableClient(pool, ADDRESS, known).table("t")
 
     with pytest.raises(peertables.PeerNotReady):
-        served(script)
+        run_with_peer(script)
 
 
-def test_follower_of_the_former_format_is_answered_without_an_era():
+def test_follower_with_the_previous_format_is_answered_without_an_era():
 
     async def script(table, pool):
         table.apply_rows(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1),
@@ -201,6 +201,6 @@
         answer = await fetching.fetch(pool, ADDRESS, request, 200)
         return msgpack.unpackb(answer.body)
 
-    version, _, rows = served(script)
+    version, _, rows = run_with_peer(script)
     assert version == 4
     assert [each[0] for each in rows] == ["b"]
--- a/tests/gateway/test_store_restore_machine.py
+++ b/tests/gateway/test_store_restore_machine.py
@@ -1,4 +1,4 @@
-"""A property of followers: they end up with what a restored store holds."""
+"""Property test: readers and followers end up with a restored store's rows."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class _FixedSource(sourceselector.SourceSelector):
-    """Always the same one."""
+    """Selects the same source every time."""
 
     def __init__(self, source):
         others = peers.Peers("n", "a", 1, ("10.1.0.9", 7340), clock.now_ms())
@@ -51,22 +51,22 @@
 async def _follow(source, seen):
     while True:
         try:
-            news = await source.read(WAIT_MS, 60_000)
+            result = await source.read(WAIT_MS, 60_000)
         except storecalls.HistoryLost:
             continue
         except storecalls.exceptions.StoreError:
             await asyncio.sleep(0.02)
             continue
-        if news.whole:
+        if result.whole:
             seen.clear()
-        for row in news.rows.rows:
+        for row in result.rows.rows:
             if row.deleted:
                 seen.pop(row.key, None)
             else:
                 seen[row.key] = row.value
 
 
-async def _happen(store, step):
+async def _apply_step(store, step):
     match step:
         case ("put", key, value):
             store.put(TABLE, key, {"value": value})
@@ -84,7 +84,7 @@
             await asyncio.sleep(for_ms / 1000)
 
 
-async def _play(steps):
+async def _run_steps(steps):
     store = modelstore.ModelStore()
     await store.listen()
     loop = asyncio.get_running_loop()
@@ -108,7 +108,7 @@
             loop.create_task(_follow(follower, followed))
         ]
         for step in steps:
-            await _happen(store, step)
+            await _apply_step(store, step)
         await asyncio.sleep(SETTLED_S)
         for task in tasks:
             task.cancel()
@@ -127,6 +127,6 @@
                      ("put", "c", 2)])
 def test_readers_and_followers_end_up_with_what_the_store_holds(steps):
     with virtualloop.running(1) as loop:
-        held, read, followed = loop.run_until_complete(_play(steps))
+        held, read, followed = loop.run_until_complete(_run_steps(steps))
     assert read == held
     assert followed == held
--- a/tests/gateway/test_tablecopies.py
+++ b/tests/gateway/test_tablecopies.py
@@ -18,7 +18,7 @@
     return storecalls.Rows(found, version, as_of_ms, era)
 
 
-def test_whoever_follows_a_copy_gets_each_change():
+def test_followers_of_a_copy_get_each_change():
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 1), row("b", 2), version=3), whole=True)
     table.apply_rows(rows(row("a", 4), row("b", 5, deleted=True), version=5),
@@ -33,24 +33,24 @@
     assert table.changes_since(5) == ()
 
 
-def test_row_that_went_without_a_version_is_told_all_the_same():
-    """The store marks it as deleted and names no version of its own."""
+def test_deleted_row_without_a_version_is_passed_on():
+    """The store marks such a row as deleted and gives it no version."""
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 1), version=3), whole=True)
     table.apply_rows(rows(row("a", 0, deleted=True), version=6), whole=False)
     assert [each.deleted for each in table.changes_since(3)] == [True]
 
 
-def test_forgotten_changes_are_no_news_but_a_gap():
+def test_changes_before_the_history_are_reported_as_lost():
     table = tablecopies.TableCopy()
     table.apply_rows(rows(version=3), whole=True)
     assert table.changes_since(2) is None
 
 
-def test_whole_reading_tells_followers_only_what_is_new():
-    """The store was away; its table is read whole again.
+def test_whole_read_passes_only_changes_on_to_followers():
+    """After an outage of the store its table is read whole again.
 
-    Made to do the same, all that follow this copy would have it sent whole.
+    If followers had to read whole too, the copy would be sent to each of them.
     """
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 1), row("b", 2), row("c", 3), version=3),
@@ -76,20 +76,20 @@
 
 
 def test_restored_table_replaces_the_copy_though_its_version_is_lower():
-    """A copy that only compares versions keeps the lost rows for good."""
+    """A copy that compares only versions would keep the lost rows forever."""
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 90), row("lost", 99), version=100),
                      whole=True)
     table.apply_rows(rows(row("a", 90), row("b", 97), version=97, era=1),
                      whole=True)
     assert sorted(each.key for each in table.whole()) == ["a", "b"]
-    # Whoever follows it knows other rows by the same versions.
+    # Followers know other rows by the same versions.
     assert table.changes_since(96) is None
     table.apply_rows(rows(row("late", 130), version=130), whole=False)
     assert sorted(each.key for each in table.whole()) == ["a", "b"]
 
 
-def test_changes_of_an_unknown_era_are_left():
+def test_changes_of_an_unknown_era_are_ignored():
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 1), version=3), whole=True)
     table.apply_rows(rows(row("b", 4), version=4, era=1), whole=False)
@@ -102,7 +102,7 @@
                                       max_size=3),
                      max_size=12), strategies.data())
 def test_followers_of_any_age_end_up_with_the_same_rows(batches, data):
-    """One that asks now and then, through a copy, sees what the store holds."""
+    """A follower that queries a copy at any times ends up with its rows."""
     table = tablecopies.TableCopy()
     table.apply_rows(rows(version=1), whole=True)
     followed, seen, version = {}, 1, 1
@@ -128,8 +128,8 @@
             followed[each.key] = dataclasses.replace(each)
 
 
-def test_followers_hear_of_a_change_in_the_order_in_which_they_came():
-    """In no certain order, the same seed gave two different plays."""
+def test_followers_are_notified_of_a_change_in_the_order_of_arrival():
+    """In an arbitrary order, simulations with the same seed differed."""
     table = tablecopies.TableCopy()
     heard = []
 
