--- a/cardamommill/gateway/platformreader.py
+++ b/cardamommill/gateway/platformreader.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the list of runners in the platform's store."""
+"""Keeps the configuration and the runner list up to date from the store."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -18,46 +18,49 @@
 )
 from cardamommill.platform import configurations, entries, storecalls, words
 
-# An unanswered feed confirms nothing: it is asked to wait for this part of the
-# time in which a key that was taken away may still work. Meanwhile peers tell
-# what they confirmed.
+# How long a query for configuration changes is held, as a fraction of the time
+# for which a revoked key may still be accepted. An unanswered query confirms
+# nothing; in the meantime peers report what they have confirmed.
 FEED_WAIT_RATIO = 0.5
-# What changed in the list is asked for each such part of the drain bound,
-# however much changes, so that it is known well within it; whoever waits for a
-# change that is due has it asked for sooner.
+# Interval between reads of a changing list, as a fraction of the drain bound,
+# so that changes are known well within that bound. It does not depend on the
+# number of changes. Code that expects a change requests an earlier read.
 LIST_INTERVAL_RATIO = 0.6
-# Runners whose entries lapsed while the store was away write them anew within
-# this of its return; until then the list is asked for this often, since nobody
-# is sent to a runner that it does not name.
+# After an outage of the store, runners whose entries have expired rewrite them
+# within RECOVERY_MS. Until then the list is read more often, since requests are
+# not sent to runners that it does not contain.
 RECOVERY_MS = 2500.0
 RECOVERY_LIST_INTERVAL_MS = 200.0
-# An answer without news is asked for before the list is older than this part of
-# the drain bound. What changes is answered at once: a node that does not get it
-# is cut off.
+# A query for list changes is held until the list's age reaches this fraction of
+# the drain bound. Changes are answered at once; a node that does not get them
+# has lost its source.
 LIST_WAIT_RATIO = 0.8
-# Whoever follows a node that is cut off leaves it once its list is this old,
-# which no sound one lets it become, and has some time to ask the store before
-# the bound is over.
+# Maximum age of a peer's list, as a fraction of the drain bound. It is exceeded
+# only by a peer that has lost its own source, and leaves some time to read from
+# the store before the bound is over.
 MAX_LIST_AGE_RATIO = 0.9
-# Older than this the list is not followed any more.
+# Age, as a fraction of the drain bound, beyond which the list is no longer
+# acted upon.
 LIST_STALE_RATIO = 1.4
-# A peer that reads the configuration may have heard of it this part of the time
-# in which a key may still work ago: its feed's wait, and a lost answer.
+# Maximum age of a peer's configuration, as a fraction of the time for which a
+# revoked key may still be accepted. It allows for the time for which the peer's
+# own query is held, and for one lost answer.
 MAX_CONFIGURATION_AGE_RATIO = 0.7
-# After a call that failed.
+# Delay before the next call after a failed one.
 RETRY_MS = 250.0
-# A configuration that a peer has in force comes here by itself within this, or
-# else a peer is asked for it.
+# A configuration that a peer already uses normally arrives within this time; if
+# not, a peer is asked for it. Followers wait longer by FOLLOWER_DELAY_FACTOR,
+# since a reader that catches up passes the configuration on to them.
 CATCH_UP_DELAY_MS = 200.0
 FOLLOWER_DELAY_FACTOR = 2
-# After one that had none which this node can take.
+# Delay after a peer had no configuration that this node can use.
 CATCH_UP_RETRY_MS = 1000.0
 
 _LOG = logbook.Logger("platform")
 
 
 class PlatformReader:
-    """Reads what the platform says, and says what changed."""
+    """Follows the configuration and the runner list, and applies changes."""
 
     def __init__(self, operator: tablereader.TableReader,
                  servers: tablereader.TableReader, view: fleetview.FleetView,
@@ -72,107 +75,114 @@
         self._drain_ms = drain_ms
         self._listed: dict[str, model.Runner] = {}
         view.list_stale_ms = LIST_STALE_RATIO * drain_ms
-        self._refused: set[tuple[str, bytes]] = set()
-        self._lost: set[str] = set()
-        self._back_until_ms = float("-inf")
-        self._wanted = asyncio.Event()
+        self._logged_rows: set[tuple[str, bytes]] = set()
+        self._unavailable: set[str] = set()
+        self._recovery_until_ms = float("-inf")
+        self._list_requested = asyncio.Event()
         self._is_catching_up = False
-        # The row of a configuration that could not be read; 0 where none is.
-        self._unread = 0
-        # The version of the configuration that the store holds.
-        self._stored = 0
-        # Of the first reading since the store was restored.
+        # Version of the row with a configuration that could not be decoded; 0
+        # if there is none.
+        self._undecodable_version = 0
+        # Version of the configuration in the store.
+        self._stored_version = 0
+        # Version of the table at the first read after a restore of the store.
         self._restored_version = 0
-        # What was read before this time says nothing of newer configurations.
+        # Reads before this time don't confirm the configuration, because a
+        # newer one may have been lost in a restore.
         self._confirmed_from_ms = float("-inf")
-        # The newest configuration that any peer has in force.
-        self._told_version = 0
+        # Newest version of the configuration that any peer uses.
+        self._newest_peer_version = 0
         self._restoration: restoration.Restoration | None = None
 
     async def follow_configuration(self) -> None:
-        """Keeps the configuration; ends only with the node."""
+        """Keeps the configuration up to date; runs until the node ends."""
         has_failed = False
         while True:
             revoke_ms = self._fresh.revoke_ms
             try:
-                news = await self._operator.read(
+                result = await self._operator.read(
                     self._feed_wait_ms(revoke_ms),
                     MAX_CONFIGURATION_AGE_RATIO * revoke_ms)
             except storecalls.HistoryLost:
                 _LOG.info(logs.line("history-lost", table="op"))
                 continue
             except exceptions.StoreError as error:
-                self._lose("configuration", error)
-                # One lost answer is asked for again at once.
+                self._record_failure("configuration", error)
+                # A single failure is retried at once.
                 await asyncio.sleep(RETRY_MS / 1000 if has_failed else 0)
                 has_failed = True
                 continue
             has_failed = False
-            self._regain("configuration")
+            self._record_success("configuration")
             try:
-                self._take_rows(news)
+                self._take_rows(result)
             except Exception:
                 _LOG.exception(logs.line("configuration-failed"))
             if self.table is None:
                 await asyncio.sleep(RETRY_MS / 1000)
 
     def _feed_wait_ms(self, revoke_ms: float) -> int:
-        """Returns for how long news of the configuration is waited for."""
+        """Returns how long a query for configuration changes is held."""
         unconfirmed_ms = self._confirmed_from_ms - clock.now_ms()
         if unconfirmed_ms > 0:
             return int(min(FEED_WAIT_RATIO * revoke_ms, unconfirmed_ms + 1))
         return int(FEED_WAIT_RATIO * revoke_ms)
 
     def has_lost_store(self, now_ms: float) -> bool:
-        """Whether the store fails this node, for one table at least."""
+        """Whether this node has lost the store for at least one table."""
         return (self._operator.has_lost_store(now_ms) or
                 self._servers.has_lost_store(now_ms))
 
     def should_catch_up(self, version: int) -> bool:
-        """Whether a peer's configuration is newer, and nobody asks for it."""
-        self._told_version = max(self._told_version, version)
+        """Whether a peer's configuration is newer and no catch-up is running.
+
+        Also records the version as one that a peer uses.
+        """
+        self._newest_peer_version = max(self._newest_peer_version, version)
         return version > self._version() and not self._is_catching_up
 
     async def catch_up(self) -> None:
-        """Asks a peer that knows more, if this node's source does not tell.
+        """Reads a newer configuration from a peer if the usual source is late.
 
-        One that is cut off is left only after seconds: it answers with what it
-        had, and a store that has fallen silent is waited for.
+        The usual source is replaced only after seconds when it is partitioned:
+        a peer still answers with the copy that it has, and an unresponsive
+        store is waited for.
         """
         version = self._version()
         self._is_catching_up = True
         try:
-            # A reader that catches up passes it on to its followers.
-            patience = (1 if self._operator.is_reading_store else
-                        FOLLOWER_DELAY_FACTOR)
-            await asyncio.sleep(patience * CATCH_UP_DELAY_MS / 1000)
+            # A reader that catches up passes the configuration on to its
+            # followers, so these wait longer.
+            delay_factor = (1 if self._operator.is_reading_store else
+                            FOLLOWER_DELAY_FACTOR)
+            await asyncio.sleep(delay_factor * CATCH_UP_DELAY_MS / 1000)
             if self._version() == version:
-                await self._read_ahead(version)
+                await self._read_newer_configuration(version)
             if self._version() == version:
                 await asyncio.sleep(CATCH_UP_RETRY_MS / 1000)
         finally:
             self._is_catching_up = False
 
-    async def _read_ahead(self, version: int) -> None:
+    async def _read_newer_configuration(self, version: int) -> None:
         try:
-            news = await self._operator.read_newer_from_peer(version)
+            result = await self._operator.read_newer_from_peer(version)
         except exceptions.StoreError as error:
             _LOG.info(logs.line("catch-up-failed", reason=str(error)))
             return
-        if news is not None:
-            self._take_rows(news)
+        if result is not None:
+            self._take_rows(result)
             _LOG.info(
                 logs.line("caught-up", before=version, now=self._version()))
 
     def _version(self) -> int:
         return self.table.configuration.version if self.table else 0
 
-    def _take_rows(self, news: tablereader.ReadResult) -> None:
-        rows = news.rows
-        if news.was_restored:
-            self._doubt_configuration(rows)
-        if news.whole:
-            self._stored = 0
+    def _take_rows(self, result: tablereader.ReadResult) -> None:
+        rows = result.rows
+        if result.was_restored:
+            self._suspend_confirmation(rows)
+        if result.whole:
+            self._stored_version = 0
         for row in rows.rows:
             if row.key == words.CONFIGURATION_KEY:
                 self._take_row(row, row.version or rows.version)
@@ -181,32 +191,33 @@
 
     def _take_row(self, row: storecalls.Row, version: int) -> None:
         if version > self._restored_version:
-            # The operator has written since the store was restored.
+            # The operator has rewritten the configuration since the restore.
             self._confirmed_from_ms = float("-inf")
         if row.deleted:
-            self._stored = 0
+            self._stored_version = 0
         elif not self._take_configuration(row.value):
-            self._unread = max(self._unread, version)
-        elif version > self._unread:
-            self._unread = 0
+            self._undecodable_version = max(self._undecodable_version, version)
+        elif version > self._undecodable_version:
+            self._undecodable_version = 0
 
     def _is_newest(self, rows: storecalls.Rows) -> bool:
-        """Whether an answer says that the configuration in force is newest.
+        """Whether an answer confirms that the current configuration is newest.
 
-        A restored store that holds an older one has lost it, and may have lost
-        a newer one too.
+        A restored store that holds an older one has lost the current one, and
+        may have lost a newer one too.
         """
-        return (self.table is not None and not self._unread and
-                self._stored >= self._version() >= self._told_version and
+        return (self.table is not None and not self._undecodable_version and
+                self._stored_version >= self._version() >=
+                self._newest_peer_version and
                 rows.as_of_ms >= self._confirmed_from_ms)
 
-    def _doubt_configuration(self, rows: storecalls.Rows) -> None:
-        """Confirms nothing for a while after a restore.
+    def _suspend_confirmation(self, rows: storecalls.Rows) -> None:
+        """Suspends confirmations of the configuration after a restore.
 
-        The configuration that is read may be older than one that was accepted,
-        which no node heard of; the operator writes that again.
+        The restored configuration may be older than an accepted one that no
+        node has received. The operator writes the accepted one again.
         """
-        self._unread = 0
+        self._undecodable_version = 0
         self._restored_version = rows.version
         self._confirmed_from_ms = clock.now_ms(
         ) + restoration.REWRITE_TIMEOUT_MS
@@ -220,12 +231,12 @@
         try:
             configuration = configurations.decode(value)
         except exceptions.BadPeerMessage as error:
-            # A version that can't be read may take keys away: the one in
-            # force is not known to be the newest until a later one is read,
-            # whatever answers without news follow.
+            # A version that can't be decoded may revoke keys. So the current
+            # one is not confirmed as the newest until a later one is decoded,
+            # even if the next answers contain no changes.
             _LOG.error(logs.line("configuration-refused", reason=str(error)))
             return False
-        self._stored = configuration.version
+        self._stored_version = configuration.version
         before = self._version()
         if configuration.version <= before:
             return True
@@ -240,84 +251,87 @@
         return True
 
     async def follow_list(self) -> None:
-        """Keeps the list of runners; ends only with the node.
+        """Keeps the runner list up to date; runs until the node ends.
 
-        It is read whole once and then followed by what changed: decoding rows
-        that did not change was most of what a node of a large fleet did.
+        The list is read whole once and then only its changes. Decoding
+        unchanged rows took most of a node's processor time in a large fleet.
         """
         while True:
-            began_ms = clock.now_ms()
+            started_ms = clock.now_ms()
             try:
-                news = await self._servers.read(
-                    self._list_wait_ms(began_ms),
+                result = await self._servers.read(
+                    self._list_wait_ms(started_ms),
                     MAX_LIST_AGE_RATIO * self._drain_ms)
             except storecalls.HistoryLost:
                 _LOG.info(logs.line("history-lost", table="servers"))
                 continue
             except exceptions.StoreError as error:
-                self._lose("list", error)
+                self._record_failure("list", error)
                 await asyncio.sleep(RETRY_MS / 1000)
                 continue
-            self._regain("list")
-            self._note_return()
+            self._record_success("list")
+            self._start_recovery_if_stale()
             try:
-                self._take_list(news)
+                self._take_list(result)
             except Exception:
-                # One row that this version can't take must not end the
-                # reading of all later lists.
+                # A row that this release can't process must not stop the
+                # reading of later lists.
                 _LOG.exception(logs.line("list-failed"))
-            if self._servers.is_reading_store and news.rows:
-                # Without news it was listening, and goes on with that.
-                await self._wait(began_ms)
+            if self._servers.is_reading_store and result.rows:
+                # An answer without changes was held by the source, so the next
+                # query follows at once.
+                await self._wait_for_next_read(started_ms)
 
-    def _note_return(self) -> None:
-        """Notes that the list comes again after it was away for long."""
+    def _start_recovery_if_stale(self) -> None:
+        """Starts the recovery period if the list was stale until this read."""
         now_ms = clock.now_ms()
         age_ms = now_ms - self._view.list_as_of_ms
         if self._view.list_stale_ms < age_ms < math.inf:
-            self._back_until_ms = now_ms + RECOVERY_MS
+            self._recovery_until_ms = now_ms + RECOVERY_MS
 
     def _list_wait_ms(self, now_ms: float) -> int:
-        """Returns for how long news is waited for."""
-        most_ms = LIST_WAIT_RATIO * self._drain_ms
-        left_ms = most_ms - (now_ms - self._view.list_as_of_ms)
-        return int(left_ms if left_ms > 0 else most_ms)
+        """Returns how long a query for list changes is held."""
+        max_wait_ms = LIST_WAIT_RATIO * self._drain_ms
+        remaining_ms = max_wait_ms - (now_ms - self._view.list_as_of_ms)
+        return int(remaining_ms if remaining_ms > 0 else max_wait_ms)
 
     def request_list_read(self) -> None:
-        """Has the list read sooner than it would be."""
-        self._wanted.set()
+        """Requests a read of the list without waiting for the interval."""
+        self._list_requested.set()
 
-    async def _wait(self, began_ms: float) -> None:
+    async def _wait_for_next_read(self, started_ms: float) -> None:
         now_ms = clock.now_ms()
-        interval_ms = (RECOVERY_LIST_INTERVAL_MS if now_ms < self._back_until_ms
-                       else LIST_INTERVAL_RATIO * self._drain_ms)
-        left_ms = interval_ms - (now_ms - began_ms)
+        interval_ms = (RECOVERY_LIST_INTERVAL_MS if now_ms
+                       < self._recovery_until_ms else LIST_INTERVAL_RATIO *
+                       self._drain_ms)
+        remaining_ms = interval_ms - (now_ms - started_ms)
         try:
-            await asyncio.wait_for(self._wanted.wait(),
-                                   max(0.0, left_ms) / 1000)
+            await asyncio.wait_for(self._list_requested.wait(),
+                                   max(0.0, remaining_ms) / 1000)
         except TimeoutError:
             return
         finally:
-            self._wanted.clear()
+            self._list_requested.clear()
 
-    def _take_list(self, news: tablereader.ReadResult) -> None:
-        rows = news.rows
-        if news.was_restored:
+    def _take_list(self, result: tablereader.ReadResult) -> None:
+        rows = result.rows
+        if result.was_restored:
             self._begin_restoration(rows)
-        if news.whole:
+        if result.whole:
             self._listed.clear()
         for row in rows.rows:
-            # A row that can't be taken names no runner, whatever it said.
+            # A row that can't be decoded lists no runner, even if its previous
+            # version did.
             self._listed.pop(row.key, None)
             if row.deleted:
-                self._note_removal(row.key)
+                self._record_removal(row.key)
                 continue
             try:
                 self._listed[row.key] = entries.decode_entry(
                     row.key, row.value, row.version, rows.era)
             except exceptions.BadPeerMessage as error:
-                self._refuse_entry(row, error)
-        changes = self._view.apply_list(self._counted(), rows.as_of_ms)
+                self._log_refused_entry(row, error)
+        changes = self._view.apply_list(self._valid_entries(), rows.as_of_ms)
         for runner_id, change in changes:
             _LOG.info(
                 logs.line("runner",
@@ -327,22 +341,22 @@
 
     def _begin_restoration(self, rows: storecalls.Rows) -> None:
         now_ms = clock.now_ms()
-        known = {each.id: each for each in self._counted()}
+        known = {each.id: each for each in self._valid_entries()}
         self._restoration = restoration.Restoration(now_ms, rows.position,
                                                     known)
-        self._back_until_ms = now_ms + RECOVERY_MS
+        self._recovery_until_ms = now_ms + RECOVERY_MS
         _LOG.warning(
             logs.line("list-restored",
                       era=rows.era,
                       list_version=rows.version,
                       known=len(known)))
 
-    def _note_removal(self, runner: str) -> None:
+    def _record_removal(self, runner: str) -> None:
         if self._restoration is not None:
             self._restoration.record_removal(runner)
 
-    def _counted(self) -> Iterable[model.Runner]:
-        """Returns the entries of the list that count."""
+    def _valid_entries(self) -> Iterable[model.Runner]:
+        """Returns the valid entries of the list."""
         restored = self._restoration
         now_ms = clock.now_ms()
         if restored is None or restored.is_over(now_ms):
@@ -350,21 +364,21 @@
             return tuple(self._listed.values())
         return tuple(restored.valid_entries(self._listed, now_ms))
 
-    def _refuse_entry(self, row: storecalls.Row,
-                      error: exceptions.BadPeerMessage) -> None:
-        # Once for each text: the list is read again each second.
-        mark = (row.key, row.value)
-        if mark not in self._refused and len(self._refused) < 1000:
-            self._refused.add(mark)
+    def _log_refused_entry(self, row: storecalls.Row,
+                           error: exceptions.BadPeerMessage) -> None:
+        # Logged once per content, since the list is read every second.
+        row_text = (row.key, row.value)
+        if row_text not in self._logged_rows and len(self._logged_rows) < 1000:
+            self._logged_rows.add(row_text)
             _LOG.warning(
                 logs.line("entry-refused", runner=row.key, reason=str(error)))
 
-    def _lose(self, what: str, error: exceptions.StoreError) -> None:
-        if what not in self._lost:
-            self._lost.add(what)
+    def _record_failure(self, what: str, error: exceptions.StoreError) -> None:
+        if what not in self._unavailable:
+            self._unavailable.add(what)
             _LOG.warning(logs.line("store-lost", what=what, reason=str(error)))
 
-    def _regain(self, what: str) -> None:
-        if what in self._lost:
-            self._lost.discard(what)
+    def _record_success(self, what: str) -> None:
+        if what in self._unavailable:
+            self._unavailable.discard(what)
             _LOG.info(logs.line("store-regained", what=what))
--- a/tests/gateway/test_platformreader.py
+++ b/tests/gateway/test_platformreader.py
@@ -1,4 +1,4 @@
-"""Tests of how the platform's list of runners is followed."""
+"""Tests of how the configuration and the runner list are kept up to date."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 CONFIG = (words.OPERATOR_TABLE, words.CONFIGURATION_KEY)
 DRAIN_MS = 2000.0
-# By then a change is known, and there is time to act on it.
+# A change is known after this time, which leaves some time to act on it.
 KNOWN_S = 0.7 * DRAIN_MS / 1000
 
 
@@ -32,12 +32,12 @@
     return {**figures, **changes}
 
 
-class Following:
-    """A reader of a model store, for a test's script.
+class Harness:
+    """A platform reader connected to a model of the store.
 
     Attributes:
-        store: To be changed by the script.
-        view: What the reader made of it.
+        store: The model store, which test scripts change.
+        view: The fleet view that the reader updates.
     """
 
     def __init__(self, pool):
@@ -60,18 +60,18 @@
 
 
 def follow(script):
-    """Plays a script beside a reader that follows the list."""
+    """Runs a script concurrently with a reader that follows the list."""
 
     async def main():
         with upstream.Pool() as pool:
-            one = Following(pool)
-            await one.store.listen()
-            one.put("i-1")
-            one.put("i-2")
+            harness = Harness(pool)
+            await harness.store.listen()
+            harness.put("i-1")
+            harness.put("i-2")
             task = asyncio.get_running_loop().create_task(
-                one.reader.follow_list())
+                harness.reader.follow_list())
             await asyncio.sleep(0.1)
-            await script(one)
+            await script(harness)
             task.cancel()
 
     with virtualloop.running(1) as loop:
@@ -84,205 +84,210 @@
 
 
 def follow_configuration(script):
-    """Plays a script beside a reader that has version 3 for four seconds."""
+    """Runs a script after a reader has had configuration 3 for four seconds."""
 
-    async def both(one):
-        one.store.put(*CONFIG, configuration(3))
+    async def run_both(harness):
+        harness.store.put(*CONFIG, configuration(3))
         task = asyncio.get_running_loop().create_task(
-            one.reader.follow_configuration())
+            harness.reader.follow_configuration())
         await asyncio.sleep(4.0)
-        await script(one)
+        await script(harness)
         task.cancel()
 
-    follow(both)
+    follow(run_both)
 
 
-def test_keys_are_not_confirmed_past_a_configuration_that_can_not_be_read():
-    """A newer release's operator writes what this one can't read.
+def test_keys_are_not_confirmed_after_an_undecodable_configuration():
+    """The operator of a newer release writes what this one can't decode.
 
-    It may take keys away. The next answer of the store has no news, and was
-    taken to say that the configuration in force is still the newest: keys that
-    were taken away would have worked for as long as the node lived.
+    It may revoke keys. The next answer of the store contains no changes and was
+    taken to confirm the current configuration, so that revoked keys would have
+    been accepted until the node was restarted.
     """
 
-    async def script(one):
-        assert one.fresh.keys_may_be_trusted(clock.now_ms())
-        one.store.put(*CONFIG, configuration(4, routes="none"))
+    async def script(harness):
+        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
+        harness.store.put(*CONFIG, configuration(4, routes="none"))
         await asyncio.sleep(6.0)
-        assert one.reader.table.configuration.version == 3
-        assert not one.fresh.keys_may_be_trusted(clock.now_ms())
-        one.store.put(*CONFIG, configuration(5))
+        assert harness.reader.table.configuration.version == 3
+        assert not harness.fresh.keys_may_be_trusted(clock.now_ms())
+        harness.store.put(*CONFIG, configuration(5))
         await asyncio.sleep(0.1)
-        assert one.fresh.keys_may_be_trusted(clock.now_ms())
+        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
 
     follow_configuration(script)
 
 
 def test_leaving_runner_is_known_well_within_its_bound():
-    """Its entry changes just after an answer; requests must soon avoid it."""
+    """Its entry changes just after an answer; it must soon get no requests."""
 
-    async def script(one):
+    async def script(harness):
         await asyncio.sleep(3.0)
-        one.put("i-1", state="draining")
+        harness.put("i-1", state="draining")
         await asyncio.sleep(KNOWN_S)
-        assert one.view.known["i-1"].runner.leaving
-        assert not one.view.known["i-2"].runner.leaving
+        assert harness.view.known["i-1"].runner.leaving
+        assert not harness.view.known["i-2"].runner.leaving
 
     follow(script)
 
 
-def test_runner_whose_entry_goes_is_no_longer_listed():
+def test_runner_whose_entry_is_deleted_is_no_longer_listed():
 
-    async def script(one):
-        one.store.drop(words.SERVERS_TABLE, "i-1")
+    async def script(harness):
+        harness.store.drop(words.SERVERS_TABLE, "i-1")
         await asyncio.sleep(KNOWN_S)
-        assert not one.view.known["i-1"].listed
-        assert one.view.known["i-2"].listed
+        assert not harness.view.known["i-1"].listed
+        assert harness.view.known["i-2"].listed
 
     follow(script)
 
 
 def test_list_is_read_whole_when_its_history_is_lost():
-    """The store forgets what changed while a runner went and one came."""
+    """The store drops its history after one runner left and another joined."""
 
-    async def script(one):
-        one.store.fault = "silent"
-        one.store.drop(words.SERVERS_TABLE, "i-1")
-        one.put("i-3")
-        one.store.compact()
+    async def script(harness):
+        harness.store.fault = "silent"
+        harness.store.drop(words.SERVERS_TABLE, "i-1")
+        harness.put("i-3")
+        harness.store.compact()
         await asyncio.sleep(3.0)
-        one.store.fault = ""
+        harness.store.fault = ""
         await asyncio.sleep(3.0)
         listed = {
-            each.runner.id for each in one.view.known.values() if each.listed
+            each.runner.id
+            for each in harness.view.known.values()
+            if each.listed
         }
         assert listed == {"i-2", "i-3"}
 
     follow(script)
 
 
-def test_entry_that_can_not_be_read_names_no_runner():
+def test_runner_with_an_undecodable_entry_is_not_listed():
 
-    async def script(one):
-        one.put("i-1", state="strange")
+    async def script(harness):
+        harness.put("i-1", state="strange")
         await asyncio.sleep(KNOWN_S)
-        assert not one.view.known["i-1"].listed
+        assert not harness.view.known["i-1"].listed
 
     follow(script)
 
 
-def test_list_without_news_costs_few_calls_and_is_not_old():
-    """A quiet minute: the list is priced by the call, and must stay young."""
+def test_list_without_changes_costs_few_calls_and_is_not_stale():
+    """Runs for a minute without changes; calls to the store are charged for."""
 
-    async def script(one):
-        before = one.store.calls
+    async def script(harness):
+        before = harness.store.calls
         ages_ms = []
         for _ in range(60):
             await asyncio.sleep(1.0)
-            ages_ms.append(clock.now_ms() - one.view.list_as_of_ms)
-        assert one.store.calls - before <= 40
-        assert max(ages_ms) <= one.view.list_stale_ms
+            ages_ms.append(clock.now_ms() - harness.view.list_as_of_ms)
+        assert harness.store.calls - before <= 40
+        assert max(ages_ms) <= harness.view.list_stale_ms
 
     follow(script)
 
 
-def test_many_changes_cost_no_more_calls_than_their_bound_needs():
+def test_many_changes_cost_no_more_calls_than_the_drain_bound_needs():
 
-    async def script(one):
-        before = one.store.calls
+    async def script(harness):
+        before = harness.store.calls
         for number in range(600):
-            one.put(f"i-{number % 9}", slots=number + 1)
+            harness.put(f"i-{number % 9}", slots=number + 1)
             await asyncio.sleep(0.1)
-        assert one.store.calls - before <= 80
+        assert harness.store.calls - before <= 80
 
     follow(script)
 
 
 def test_configuration_stays_in_force_when_the_store_has_lost_it():
-    """The store comes back with the one before; keys wait for the operator."""
+    """The restored store holds the previous configuration.
 
-    async def script(one):
-        one.store.put(*CONFIG, configuration(4))
+    Keys are not trusted until the operator has written the lost one again.
+    """
+
+    async def script(harness):
+        harness.store.put(*CONFIG, configuration(4))
         await asyncio.sleep(0.5)
-        one.store.restore(1000)
+        harness.store.restore(1000)
         await asyncio.sleep(5.5)
-        assert one.reader.table.configuration.version == 4
-        assert not one.fresh.keys_may_be_trusted(clock.now_ms())
-        one.store.put(*CONFIG, configuration(4))
+        assert harness.reader.table.configuration.version == 4
+        assert not harness.fresh.keys_may_be_trusted(clock.now_ms())
+        harness.store.put(*CONFIG, configuration(4))
         await asyncio.sleep(0.1)
-        assert one.fresh.keys_may_be_trusted(clock.now_ms())
+        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
 
     follow_configuration(script)
 
 
-def test_configuration_that_no_node_heard_of_is_waited_for_after_a_restore():
-    """It may have taken a key away, and the operator writes it again."""
+def test_configuration_unknown_to_all_nodes_is_waited_for_after_a_restore():
+    """It may have revoked a key, and the operator writes it again."""
 
-    async def script(one):
-        confirmed_ms = one.fresh.confirmed_ms
-        one.store.restore(0)
+    async def script(harness):
+        confirmed_ms = harness.fresh.confirmed_ms
+        harness.store.restore(0)
         await asyncio.sleep(restoration.REWRITE_TIMEOUT_MS / 1000 - 0.1)
-        assert one.fresh.confirmed_ms < confirmed_ms + 600
-        one.store.put(*CONFIG, configuration(5))
+        assert harness.fresh.confirmed_ms < confirmed_ms + 600
+        harness.store.put(*CONFIG, configuration(5))
         await asyncio.sleep(0.1)
-        assert one.reader.table.configuration.version == 5
-        assert clock.now_ms() - one.fresh.confirmed_ms < 200
+        assert harness.reader.table.configuration.version == 5
+        assert clock.now_ms() - harness.fresh.confirmed_ms < 200
 
     follow_configuration(script)
 
 
-def test_keys_work_on_where_nothing_was_lost():
+def test_keys_stay_trusted_after_a_restore_without_losses():
 
-    async def script(one):
-        one.store.restore(0)
+    async def script(harness):
+        harness.store.restore(0)
         for _ in range(60):
             await asyncio.sleep(0.1)
-            assert one.fresh.keys_may_be_trusted(clock.now_ms())
+            assert harness.fresh.keys_may_be_trusted(clock.now_ms())
 
     follow_configuration(script)
 
 
 def test_runners_that_a_restored_list_lacks_are_waited_for():
 
-    async def script(one):
-        one.put("i-3")
+    async def script(harness):
+        harness.put("i-3")
         await asyncio.sleep(KNOWN_S)
-        one.store.restore(10_000)
+        harness.store.restore(10_000)
         await asyncio.sleep(restoration.REWRITE_TIMEOUT_MS / 1000 - 0.3)
-        assert one.view.known["i-3"].listed
-        one.put("i-3", slots=7)
-        one.put("i-1")
+        assert harness.view.known["i-3"].listed
+        harness.put("i-3", slots=7)
+        harness.put("i-1")
         await asyncio.sleep(2 * KNOWN_S)
-        assert one.view.known["i-3"].runner.slots == 7
-        assert not one.view.known["i-2"].listed
+        assert harness.view.known["i-3"].runner.slots == 7
+        assert not harness.view.known["i-2"].listed
 
     follow(script)
 
 
 def test_runner_that_was_leaving_does_not_come_back_with_the_backup():
 
-    async def script(one):
+    async def script(harness):
         await asyncio.sleep(1.0)
-        one.put("i-1", state="draining")
-        one.store.drop(words.SERVERS_TABLE, "i-2")
+        harness.put("i-1", state="draining")
+        harness.store.drop(words.SERVERS_TABLE, "i-2")
         await asyncio.sleep(KNOWN_S)
-        one.store.restore(2000)
+        harness.store.restore(2000)
         for _ in range(18):
             await asyncio.sleep(0.1)
-            assert one.view.known["i-1"].runner.leaving
-            assert not one.view.known["i-2"].listed
+            assert harness.view.known["i-1"].runner.leaving
+            assert not harness.view.known["i-2"].listed
 
     follow(script)
 
 
-def test_runner_that_leaves_before_the_first_reading_is_known_to():
-    """It wrote so again between the restore and the reading."""
+def test_runner_that_leaves_before_the_first_read_is_known_to_be_leaving():
+    """It rewrote its entry between the restore and the read."""
 
-    async def script(one):
+    async def script(harness):
         await asyncio.sleep(1.0)
-        one.store.restore(500)
-        one.put("i-1", state="draining")
+        harness.store.restore(500)
+        harness.put("i-1", state="draining")
         await asyncio.sleep(KNOWN_S)
-        assert one.view.known["i-1"].runner.leaving
+        assert harness.view.known["i-1"].runner.leaving
 
     follow(script)
