--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -1,4 +1,4 @@
-"""The process of an entry VM: wires decisions to sockets and the clock."""
+"""The process of an entry VM: connects its parts to sockets and the clock."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -42,29 +42,30 @@
 )
 from cardamommill.platform import storecalls, words
 
-# How often things are looked at; a silent group is noticed this much later.
+# Interval of periodic work; a silent group is noticed this much later.
 TICK_MS = 20.0
 PLAN_EVERY_TICKS = 3
 SWEEP_EVERY_TICKS = 12
-# The balancer asks each second and needs two misses.
+# The load balancer checks readiness every second and removes a node after two
+# failed checks.
 LEAVE_ROTATION_MS = 2600.0
 GRACE_MARGIN_MS = 500.0
-# Another node takes the request at once.
+# Short, because another node can accept the request at once.
 STOPPED_RETRY_AFTER_S = 0.05
 
 _LOG = logbook.Logger("entry")
 
 
 class EntryNode:
-    """Owns everything of one node; a context manager."""
+    """One entry node with all its parts; a context manager for its log."""
 
     def __init__(self, settings: entrysettings.EntrySettings,
                  path: pathlib.Path) -> None:
-        """Makes it.
+        """Initialises the node without opening any sockets.
 
         Args:
-            settings: Checked settings.
-            path: Where they came from, to be read again.
+            settings: Validated settings.
+            path: Path of the settings file, which is reloaded on changes.
         """
         self._settings = settings
         self._settings_file = settingsfile.SettingsFile(path)
@@ -76,24 +77,25 @@
         self._peers = peers.Peers(settings.node, settings.data_centre,
                                   self._incarnation,
                                   (settings.ip, settings.peer_port), now_ms)
-        self._far_loads = loadsums.RemoteLoads()
+        self._remote_loads = loadsums.RemoteLoads()
         self._requests_seen = False
         self._stopping_ms = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._server = callers.CallerServer(self._on_request, self._on_refused)
-        self._questions = callers.CallerServer(
-            statuspages.StatusPages(self._ready, self.metrics).answer,
-            self._on_refused)
+        self._server = callers.CallerServer(self._on_request,
+                                            self._on_unreadable_request)
+        self._status_server = callers.CallerServer(
+            statuspages.StatusPages(self._is_ready, self.metrics).answer,
+            self._on_unreadable_request)
         self._freshness = freshness.Freshness(settings.bounds.revoke_ms)
         self._store = storecalls.Store(self.pool,
                                        entrysettings.address(settings.platform))
         copies = tablecopies.TableCopies()
-        self._rows = callers.CallerServer(
+        self._table_server = callers.CallerServer(
             peertables.PeerTableServer(copies, self.spawn).on_request,
-            self._on_refused)
+            self._on_unreadable_request)
         self._reader = platformreader.PlatformReader(
-            self._source(words.OPERATOR_TABLE, copies),
-            self._source(words.SERVERS_TABLE, copies), self.view,
+            self._table_reader(words.OPERATOR_TABLE, copies),
+            self._table_reader(words.SERVERS_TABLE, copies), self.view,
             self._freshness, settings.bounds.drain_ms, self._on_table)
         self._requests = dispatcher.Dispatcher(settings, self.pool, self.view,
                                                self._reader, self._freshness,
@@ -103,25 +105,28 @@
             self.view, self.pool,
             f"{settings.node[:24]}-{self._incarnation % 36**5:x}",
             self._on_opened, self._reader.request_list_read, self.spawn)
-        self._link = nodelink.NodeLink(settings, self._peers, self._compose,
-                                       self._on_message, self._on_return)
+        self._link = nodelink.NodeLink(settings, self._peers,
+                                       self._compose_message, self._on_message,
+                                       self._on_data_centre_return)
         self._alarms = alarms.Alarms(
             self.view, self._requests, self._group_controller, self.metrics,
             availablegroups.confirmed_alarm_ms(settings.heartbeat_ms,
                                                settings.bounds.drain_ms),
-            self._plans_for, self._speak_at_once, self.spawn)
+            self._is_planned_here, self._send_update_now, self.spawn)
         self._requests.on_fault = self._alarms.probe
         self._requests.on_refusal = self._alarms.refused
         self._requests.expected_recovery_ms = (
             self._group_controller.expected_recovery_ms)
         self._opened = openedgroups.OpenedGroups(self.view)
         self._ticks = 0
-        self._done: asyncio.Event
-
-    def _source(self, table: str,
-                copies: tablecopies.TableCopies) -> tablereader.TableReader:
-        choice = sourceselector.SourceSelector(self._settings.node, self._peers)
-        return tablereader.TableReader(self._store, self.pool, choice, table,
+        self._ended: asyncio.Event
+
+    def _table_reader(
+            self, table: str,
+            copies: tablecopies.TableCopies) -> tablereader.TableReader:
+        selector = sourceselector.SourceSelector(self._settings.node,
+                                                 self._peers)
+        return tablereader.TableReader(self._store, self.pool, selector, table,
                                        copies.table(table))
 
     def __enter__(self) -> Self:
@@ -134,12 +139,12 @@
         self._handler.__exit__(*exception)
 
     def run(self) -> None:
-        """Serves until it is told to end."""
+        """Serves until the node is told to stop."""
         asyncio.run(self.serve())
 
     async def serve(self) -> None:
-        """Serves until it is told to end, in the running loop."""
-        self._done = asyncio.Event()
+        """Serves in the running event loop until the node is told to stop."""
+        self._ended = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._on_stop, "SIGTERM")
         loop.add_signal_handler(signal.SIGINT, self._on_stop, "SIGINT")
@@ -155,14 +160,14 @@
                 await self._listen()
                 self.spawn(self._link.discover_nodes(self._store))
                 self.spawn(self._tick())
-                self.spawn(self._follow())
-                await self._done.wait()
+                self.spawn(self._follow_platform())
+                await self._ended.wait()
             finally:
                 for task in list(self._tasks):
                     task.cancel()
         _LOG.info(logs.line("stop", busy=self._server.busy))
 
-    async def _follow(self) -> None:
+    async def _follow_platform(self) -> None:
         await self._link.wait_for_peers()
         self.spawn(self._reader.follow_configuration())
         self.spawn(self._reader.follow_list())
@@ -170,14 +175,14 @@
     async def _listen(self) -> None:
         settings = self._settings
         await self._server.listen(*entrysettings.address(settings.callers))
-        await self._questions.listen(*entrysettings.address(settings.ready))
+        await self._status_server.listen(*entrysettings.address(settings.ready))
         if settings.metrics_port:
-            await self._questions.listen(settings.ip, settings.metrics_port)
-        await self._rows.listen(settings.ip, settings.peer_port)
+            await self._status_server.listen(settings.ip, settings.metrics_port)
+        await self._table_server.listen(settings.ip, settings.peer_port)
         await self._link.listen()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs something beside all else until the node ends."""
+        """Runs a background task, which is cancelled when the node ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -190,14 +195,14 @@
         if error is not None:
             _LOG.error(logs.line("task-failed", error=repr(error)))
 
-    # Callers.
+    # Requests of callers.
 
     def _on_request(self, request: callers.CallerRequest,
                     reply: replies.Reply) -> callers.ActiveRequest | None:
         self._requests_seen = True
         if self._has_left_rotation(clock.now_ms()):
-            # It could not be finished before the process is ended by force: a
-            # stream that began 6 s after SIGTERM was cut in the middle.
+            # The request might not finish before the process is killed: a
+            # stream that began 6 s after SIGTERM was cut off midway.
             reply.send(503, [("Retry-After", f"{STOPPED_RETRY_AFTER_S:.3f}")],
                        b"this node is stopping; not run\n")
             self.metrics.count("requests_refused_stopping_total")
@@ -205,28 +210,28 @@
                 logs.line("request-refused-stopping",
                           request=request.get(words.ATTEMPT_ID)))
             return None
-        if self._knows_what_it_serves():
+        if self._has_initial_state():
             return self._serve(request, reply)
         held = heldrequests.HeldRequest(self._serve, request, reply)
-        self.spawn(held.serve_when_ready(self._knows_what_it_serves))
+        self.spawn(held.serve_when_ready(self._has_initial_state))
         return held
 
-    def _knows_what_it_serves(self) -> bool:
+    def _has_initial_state(self) -> bool:
         return self._reader.table is not None and self.view.list_as_of_ms > 0
 
     def _serve(self, request: callers.CallerRequest,
                reply: replies.Reply) -> callers.ActiveRequest | None:
-        one = relay.Relay(self._requests, request, reply)
-        if not one.admit():
+        request_relay = relay.Relay(self._requests, request, reply)
+        if not request_relay.admit():
             return None
-        one.start()
-        return one
+        request_relay.start()
+        return request_relay
 
-    def _on_refused(self, status: int) -> None:
+    def _on_unreadable_request(self, status: int) -> None:
         self.metrics.count("requests_refused_unread_total", status=str(status))
         _LOG.info(logs.line("request-unread", status=status))
 
-    # Nodes.
+    # Messages to and from other nodes.
 
     def _on_message(self, message: peermessage.PeerMessage,
                     now_ms: float) -> None:
@@ -234,28 +239,30 @@
             self.spawn(self._reader.catch_up())
         is_remote = message.data_centre != self._settings.data_centre
         if message.load_sums is not None:
-            self._far_loads.receive(message.load_sums,
-                                    message.data_centre if is_remote else None,
-                                    now_ms)
-        is_news = False
+            self._remote_loads.receive(
+                message.load_sums, message.data_centre if is_remote else None,
+                now_ms)
+        has_new_information = False
         for opened in message.opened_groups:
-            is_news |= self._opened.receive(opened, message.node, is_remote,
-                                            now_ms)
+            has_new_information |= self._opened.receive(opened, message.node,
+                                                        is_remote, now_ms)
         for alarm in message.alarms:
-            is_news |= self._alarms.receive(alarm, message.node, now_ms,
-                                            is_remote)
+            has_new_information |= self._alarms.receive(alarm, message.node,
+                                                        now_ms, is_remote)
         self._requests.reliability.receive(message.attempt_histories,
                                            message.node, now_ms)
         self._requests.backpressure.receive(message, now_ms)
-        if is_remote and is_news:
-            # Only reporters of this data centre are told of it at once.
+        if is_remote and has_new_information:
+            # Other data centres send urgent updates only to the reporters here,
+            # which pass them on at once.
             self._link.send_now(now_ms, far=False)
 
-    def _on_return(self, data_centre: str) -> None:
+    def _on_data_centre_return(self, data_centre: str) -> None:
         self._alarms.probe_down_runners(clock.now_ms(), data_centre)
 
-    def _compose(self, now_ms: float,
-                 update_scope: peers.UpdateScope) -> peermessage.PeerMessage:
+    def _compose_message(
+            self, now_ms: float,
+            update_scope: peers.UpdateScope) -> peermessage.PeerMessage:
         table = self._reader.table
         is_near = update_scope is peers.UpdateScope.NEAR
         is_remote = update_scope is peers.UpdateScope.FAR
@@ -278,41 +285,41 @@
             has_seen_requests=self._requests_seen,
             stopping=bool(self._stopping_ms),
             planning_age_ms=self._peers.planning_age_ms(now_ms),
-            load_sums=self._sums(now_ms, update_scope),
+            load_sums=self._load_sums(now_ms, update_scope),
             has_lost_store=self._reader.has_lost_store(now_ms),
             limits=() if is_remote else
             self._requests.backpressure.updates_for_peers(now_ms))
 
-    def _sums(self, now_ms: float,
-              update_scope: peers.UpdateScope) -> loadsums.LoadSums | None:
+    def _load_sums(self, now_ms: float,
+                   update_scope: peers.UpdateScope) -> loadsums.LoadSums | None:
         if not self._peers.is_reporter or update_scope is peers.UpdateScope.FAR:
             return None
         if update_scope is peers.UpdateScope.NEAR:
-            return self._far_loads.sums_to_relay(now_ms)
+            return self._remote_loads.sums_to_relay(now_ms)
         own = loadsums.loads_by_short_id(
             self._requests.in_flight_requests.loads())
         return loadsums.LoadSums(
             0.0, loadsums.sum_loads((own, self._peers.near_loads())))
 
-    def _speak_at_once(self) -> None:
+    def _send_update_now(self) -> None:
         self._link.send_now(clock.now_ms(), far=True)
 
-    def _plans_for(self, key: model.GroupKey) -> bool:
-        ours = self._peers.planned_data_centres(self._settings.data_centres,
-                                                clock.now_ms())
-        return any(
-            each.runner.data_centre in ours for each in self.view.members(key))
+    def _is_planned_here(self, key: model.GroupKey) -> bool:
+        planned = self._peers.planned_data_centres(self._settings.data_centres,
+                                                   clock.now_ms())
+        return any(each.runner.data_centre in planned
+                   for each in self.view.members(key))
 
-    # Time.
+    # Periodic work.
 
     async def _tick(self) -> None:
-        while not self._done.is_set():
+        while not self._ended.is_set():
             await asyncio.sleep(TICK_MS / 1000)
             try:
                 self._tick_once(clock.now_ms())
             except Exception:
-                # A fault in one look must not end all looking: the node
-                # would go on serving and never repair anything.
+                # An error in one tick must not stop the following ones. The
+                # node would keep serving but no longer repair groups.
                 _LOG.exception(logs.line("tick-failed"))
 
     def _tick_once(self, now_ms: float) -> None:
@@ -320,35 +327,35 @@
         self._alarms.check_groups(now_ms)
         self._link.send_due(now_ms)
         if self._ticks % PLAN_EVERY_TICKS == 0:
-            self._requests.update_from_peers(self._far_loads.loads(now_ms),
+            self._requests.update_from_peers(self._remote_loads.loads(now_ms),
                                              now_ms)
             self._plan(now_ms)
         if self._ticks % SWEEP_EVERY_TICKS == 0:
             self._server.enforce_timeouts(now_ms)
-            self._questions.enforce_timeouts(now_ms)
-            self._rows.enforce_timeouts(now_ms)
+            self._status_server.enforce_timeouts(now_ms)
+            self._table_server.enforce_timeouts(now_ms)
             self.pool.close_expired()
             if self._settings_file.has_changed:
-                self._reload("the file changed")
+                self._reload("settings file changed")
             self._alarms.drop_expired(now_ms)
             self._alarms.probe_down_runners(now_ms)
             self._requests.drop_expired(now_ms)
             self._opened.drop_expired(now_ms)
             self._peers.choose_reporters(now_ms)
         if self._stopping_ms:
-            self._maybe_end(now_ms)
+            self._end_if_drained(now_ms)
 
     def _plan(self, now_ms: float) -> None:
         table = self._reader.table
         if table is None or self._stopping_ms:
             return
-        ours = self._peers.planned_data_centres(self._settings.data_centres,
-                                                now_ms)
-        if not ours:
+        planned = self._peers.planned_data_centres(self._settings.data_centres,
+                                                   now_ms)
+        if not planned:
             return
         is_before_traffic = not (self._requests_seen or
                                  self._peers.any_requests_seen())
-        scope = planning.Scope(ours, len(self._settings.data_centres),
+        scope = planning.Scope(planned, len(self._settings.data_centres),
                                is_before_traffic, self._requests.loads(),
                                self._settings.data_centres)
         self._group_controller.plan(table.configuration, scope, now_ms)
@@ -356,15 +363,15 @@
     def _on_opened(self, key: model.GroupKey, name: str, head: str) -> None:
         self._opened.note(peermessage.OpenedGroup(key, name, head),
                           clock.now_ms())
-        self._speak_at_once()
+        self._send_update_now()
 
     def _on_table(self, table: routetable.RouteTable) -> None:
         self._server.limits = table.configuration.limits
 
-    # The node's own life.
+    # Readiness, reload and shutdown.
 
-    def _ready(self) -> bool:
-        return (self._knows_what_it_serves() and not self._stopping_ms and
+    def _is_ready(self) -> bool:
+        return (self._has_initial_state() and not self._stopping_ms and
                 self._requests.keys_may_be_trusted())
 
     def _on_stop(self, why: str) -> None:
@@ -373,13 +380,13 @@
         self._stopping_ms = clock.now_ms()
         self._server.stop()
         _LOG.info(logs.line("stopping", why=why, busy=self._server.busy))
-        self._speak_at_once()
+        self._send_update_now()
 
     def _has_left_rotation(self, now_ms: float) -> bool:
         return (self._stopping_ms > 0 and
                 now_ms - self._stopping_ms > LEAVE_ROTATION_MS)
 
-    def _maybe_end(self, now_ms: float) -> None:
+    def _end_if_drained(self, now_ms: float) -> None:
         since_ms = now_ms - self._stopping_ms
         if self._has_left_rotation(now_ms):
             self._server.close_idle()
@@ -388,8 +395,8 @@
                                    not self._server.busy):
             self._server.close()
             self._server.close_idle()
-            self._rows.close()
-            self._done.set()
+            self._table_server.close()
+            self._ended.set()
 
     def _reload(self, why: str) -> None:
         changed = self._settings_file.read(why)
--- a/cardamommill/gateway/entrysettings.py
+++ b/cardamommill/gateway/entrysettings.py
@@ -1,4 +1,4 @@
-"""The settings of an entry VM on a platform that keeps groups' runners."""
+"""Settings of the process of an entry VM."""
 
 import pathlib
 from typing import Annotated
@@ -9,18 +9,19 @@
 
 
 class Bounds(checking.Checked):
-    """What the operators promise their users; the node keeps to it.
+    """Service guarantees of the operators, which the node has to meet.
 
     Attributes:
-        drain_ms: After this a leaving runner gets no request.
-        grace_s: Between the word to stop and the end by force.
-        config_apply_ms: After this an accepted configuration is in force.
-        revoke_ms: After this a key that was taken away does not work.
-        retry_ratio: Repeats a request, over all nodes.
-        retry_window_s: The window of that ratio.
-        retry_slack: Repeats beyond the ratio.
-        stall_ms: What a group stands still after it lost a member.
-        pass_ms: How late an event may leave after it came.
+        drain_ms: Time after which a leaving runner gets no requests.
+        grace_s: Time between SIGTERM and forced termination.
+        config_apply_ms: Time within which an accepted configuration takes
+            effect.
+        revoke_ms: Time after which a revoked key is no longer accepted.
+        retry_ratio: Maximum ratio of retries to requests, over all nodes.
+        retry_window_s: Window over which that ratio is taken.
+        retry_slack: Number of retries allowed beyond the ratio.
+        stall_ms: How long a group stalls after it has lost a member.
+        pass_ms: Maximum delay between receiving and forwarding an event.
     """
 
     drain_ms: Annotated[float, pydantic.Field(gt=0)] = 2000
@@ -39,18 +40,18 @@
 
     Attributes:
         node: The node's name.
-        data_centre: Where it stands.
-        data_centres: All of them.
-        ip: Its address, for other nodes.
-        callers: Where callers are answered.
-        ready: Where the balancer asks whether to send callers here.
-        peer_port: The port for datagrams between nodes, the same on all.
+        data_centre: The node's data centre.
+        data_centres: All data centres.
+        ip: The node's address, for other nodes.
+        callers: Address on which requests of callers are accepted.
+        ready: Address of the readiness endpoint for the load balancer.
+        peer_port: Port for traffic between nodes, the same on all of them.
         seeds: Control addresses of some nodes; they may be stale.
-        platform: The store.
-        metrics_port: Where figures are read.
-        heartbeat_ms: How often runners tell the store of themselves.
-        bounds: What is promised.
-        logging: What is logged.
+        platform: Address of the platform's store.
+        metrics_port: Port of the metrics endpoint; 0 disables it.
+        heartbeat_ms: Interval at which runners write to the store.
+        bounds: Service guarantees.
+        logging: Logging settings.
     """
 
     node: checking.Name
@@ -71,7 +72,7 @@
 
 
 def address(text: str) -> tuple[str, int]:
-    """Returns host and port."""
+    """Returns host and port of an address written as host:port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -80,6 +81,6 @@
     """Returns the settings in a file.
 
     Raises:
-        SettingsError: Lists every fault in the file.
+        SettingsError: Lists every error in the file.
     """
     return checking.load_as(EntrySettings, path)
--- a/cardamommill/gateway/settingsfile.py
+++ b/cardamommill/gateway/settingsfile.py
@@ -1,4 +1,4 @@
-"""The file of a node's settings, which may change while the node runs."""
+"""Reloads a node's settings file when it changes."""
 
 import pathlib
 
@@ -11,20 +11,20 @@
 
 
 class SettingsFile:
-    """Reads settings again when they have changed."""
+    """A settings file and the state in which it was last read."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._stamp = _stamp(path)
+        self._fingerprint = _fingerprint(path)
 
     @property
     def has_changed(self) -> bool:
-        """Whether the file differs from what was read last."""
-        return _stamp(self._path) != self._stamp
+        """Whether the file's size or time has changed since the last read."""
+        return _fingerprint(self._path) != self._fingerprint
 
     def read(self, why: str) -> entrysettings.EntrySettings | None:
-        """Returns the settings, or None where the file is faulty."""
-        self._stamp = _stamp(self._path)
+        """Returns the settings, or None if the file is invalid."""
+        self._fingerprint = _fingerprint(self._path)
         try:
             changed = entrysettings.load(self._path)
         except exceptions.SettingsError as error:
@@ -34,7 +34,7 @@
         return changed
 
 
-def _stamp(path: pathlib.Path) -> tuple[int, int]:
+def _fingerprint(path: pathlib.Path) -> tuple[int, int]:
     try:
         found = path.stat()
     except OSError:
--- a/cardamommill/gateway/starting.py
+++ b/cardamommill/gateway/starting.py
@@ -1,4 +1,4 @@
-"""Starts an entry node, with no more of the product than it needs."""
+"""Starts an entry node, importing only the modules that it needs."""
 
 import pathlib
 
@@ -7,13 +7,13 @@
 
 
 def run(settings: str) -> None:
-    """Runs a node until it is told to end.
+    """Runs a node until it is told to stop.
 
     Args:
-        settings: The path of its settings.
+        settings: Path of its settings file.
 
     Raises:
-        SettingsError: Lists every fault in the file.
+        SettingsError: Lists every error in the file.
     """
     path = pathlib.Path(settings)
     checked = entrysettings.load(path)
@@ -22,6 +22,6 @@
 
 
 def main(settings: str) -> None:
-    """Runs a node as a process; see `exitcodes.told`."""
+    """Runs a node as a process, reporting errors as `exitcodes.told` does."""
     with exitcodes.told():
         run(settings)
--- a/tests/gateway/test_freshness_and_retries.py
+++ b/tests/gateway/test_freshness_and_retries.py
@@ -3,7 +3,7 @@
 from cardamommill.gateway import freshness, retrybudget
 
 
-def test_keys_are_trusted_while_the_confirmation_is_young():
+def test_keys_are_trusted_while_the_confirmation_is_recent():
     fresh = freshness.Freshness(5000)
     assert not fresh.keys_may_be_trusted(0)
     fresh.confirm(1000)
@@ -18,23 +18,23 @@
     assert fresh.age_ms(4500) == 500
 
 
-def test_budget_of_all_nodes_together_keeps_to_the_rule():
-    # Each node sees its own retries alone: the sum over nodes must stay
-    # within the ratio and the slack, in any window.
+def test_budgets_of_all_nodes_together_keep_to_the_retry_ratio():
+    # Each node counts only its own retries, but the sum over all nodes must
+    # stay within the ratio and the slack in any window.
     nodes = [retrybudget.RetryBudget(0.2, 10_000, 130) for _ in range(6)]
-    requests = repeats = 0
+    requests = retries = 0
     for now_ms in range(0, 10_000, 10):
         budget = nodes[(now_ms // 10) % 6]
         budget.request(now_ms)
         requests += 1
         while budget.may_retry(6, now_ms):
             budget.repeat(now_ms)
-            repeats += 1
-    assert repeats <= 0.2 * requests + 130
-    assert repeats > 100
+            retries += 1
+    assert retries <= 0.2 * requests + 130
+    assert retries > 100
 
 
-def test_old_repeats_are_forgotten():
+def test_retries_outside_the_window_are_not_counted():
     budget = retrybudget.RetryBudget(0.0, 10_000, 10)
     for now_ms in range(8):
         assert budget.may_retry(1, now_ms)
