--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -1,4 +1,4 @@
-"""Groups that fall silent: noticed, asked, told to other nodes."""
+"""Handles silent and stalled groups, and exchanges alarms about them."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,28 +17,29 @@
     peermessage,
 )
 
-# Own questions to the members of one group after alarms.
-PROBE_AGAIN_MS = 400.0
-# News that others need is told for this long, since datagrams get lost.
+# Minimum time between probes of one group by this node.
+PROBE_INTERVAL_MS = 400.0
+# How long an alarm or an opened group is repeated in messages to peers, since
+# datagrams get lost.
 ANNOUNCE_MS = 700.0
-# Nothing that is this old is of any use here.
-FORGET_MS = 10 * ANNOUNCE_MS
-# Runners of a data centre that is heard again are asked, but not twice for the
-# return of two nodes.
-BACK_ASK_MS = 250.0
-# Of the members that did not answer so many are told: enough for whoever plans
-# to ask, while the datagram holds the alarms of a whole domain.
-MAX_TOLD_SILENT = 2
-# Two groups of a data centre that are found down within this may have one
+# Entries of this age are no longer of use and are dropped.
+EXPIRY_MS = 10 * ANNOUNCE_MS
+# Minimum time between probes of a runner when its data centre is reachable
+# again, so that the return of two nodes doesn't cause two probes.
+RETURN_PROBE_INTERVAL_MS = 250.0
+# How many silent members an alarm names: enough for the planner to probe, and
+# few enough that a datagram holds the alarms of a whole fabric domain.
+MAX_REPORTED_SILENT = 2
+# Two groups of a data centre found down within this time may have the same
 # cause.
-TOGETHER_MS = 500.0
+SAME_CAUSE_MS = 500.0
 
 _LOG = logbook.Logger("alarms")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
-    """What is told of a group, since when, and who of it did not answer."""
+class _RaisedAlarm:
+    """An alarm to report: since when, and which members did not answer."""
 
     at_ms: float
     confirmed: bool
@@ -46,8 +47,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Down:
-    """A group that was found down, when, and its fabric domains."""
+class _DownGroup:
+    """A group that was found down, with the time and its fabric domains."""
 
     at_ms: float
     key: model.GroupKey
@@ -59,45 +60,45 @@
 
 
 class Alarms:
-    """Looks into silent groups and moves requests away from dead ones."""
+    """Probes silent groups, and diverts requests from dead ones."""
 
     def __init__(self, view: fleetview.FleetView,
                  requests: dispatcher.Dispatcher,
                  group_controller: groupcontroller.GroupController,
-                 figures: metrics.Metrics, confirmed_ms: float,
+                 node_metrics: metrics.Metrics, confirmed_alarm_ms: float,
                  plans_for: Callable[[model.GroupKey],
-                                     bool], spread: Callable[[], None],
+                                     bool], send_updates: Callable[[], None],
                  spawn: groupcontroller.Spawn) -> None:
-        """Makes it.
+        """Initializes the alarms of a node.
 
         Args:
-            view: What is believed of runners.
-            requests: This node's requests.
+            view: The node's view of runners and groups.
+            requests: The node's requests.
             group_controller: Probes runners.
-            figures: Counts alarms.
-            confirmed_ms: How long an alarm is heeded that found a member dead.
-            plans_for: Whether this node plans for a group.
-            spread: Tells other nodes at once.
-            spawn: Runs something beside all else.
+            node_metrics: Counts silent groups.
+            confirmed_alarm_ms: How long a group with a dead member is avoided.
+            plans_for: Returns whether this node plans for a group.
+            send_updates: Sends an urgent update to peers.
+            spawn: Runs a coroutine as a background task.
         """
         self._view = view
         self._requests = requests
         self._group_controller = group_controller
-        self._metrics = figures
-        self._confirmed_ms = confirmed_ms
+        self._metrics = node_metrics
+        self._confirmed_alarm_ms = confirmed_alarm_ms
         self._plans_for = plans_for
-        self._spread = spread
+        self._send_updates = send_updates
         self._spawn = spawn
-        self._alarms: dict[model.GroupKey, _Told] = {}
+        self._alarms: dict[model.GroupKey, _RaisedAlarm] = {}
         self._probed_ms: dict[model.GroupKey, float] = {}
-        self._asked_again_ms: dict[str, float] = {}
-        # When a peer told that it asks the members of a group.
-        self._asked_by_peer_ms: dict[model.GroupKey, float] = {}
-        # The last group of each data centre that was found down.
-        self._place_down: dict[str, _Down] = {}
+        self._down_probed_ms: dict[str, float] = {}
+        # When a peer reported that it probes a group.
+        self._probed_by_peer_ms: dict[model.GroupKey, float] = {}
+        # The group last found down in each data centre.
+        self._last_down_group: dict[str, _DownGroup] = {}
 
     def updates_for_peers(self, now_ms: float) -> tuple[peermessage.Alarm, ...]:
-        """Returns what other nodes should hear."""
+        """Returns the alarms to report to peers."""
         return tuple(
             peermessage.Alarm(key, now_ms -
                               told.at_ms, told.confirmed, told.silent)
@@ -105,17 +106,17 @@
             if now_ms - told.at_ms < ANNOUNCE_MS)
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets old alarms."""
-        clock.drop_expired(self._alarms, lambda told: told.at_ms, FORGET_MS,
+        """Drops entries that are too old."""
+        clock.drop_expired(self._alarms, lambda told: told.at_ms, EXPIRY_MS,
                            now_ms)
-        clock.drop_expired(self._probed_ms, float, FORGET_MS, now_ms)
-        clock.drop_expired(self._asked_by_peer_ms, float, FORGET_MS, now_ms)
-        clock.drop_expired(self._asked_again_ms, float, FORGET_MS, now_ms)
+        clock.drop_expired(self._probed_ms, float, EXPIRY_MS, now_ms)
+        clock.drop_expired(self._probed_by_peer_ms, float, EXPIRY_MS, now_ms)
+        clock.drop_expired(self._down_probed_ms, float, EXPIRY_MS, now_ms)
 
     def check_groups(self, now_ms: float) -> None:
-        """Finds groups that have newly fallen silent, or stand still."""
+        """Handles groups that have become silent or stalled."""
         for key in self._requests.silence.silent(now_ms):
-            self._suspect(key, now_ms)
+            self._handle_silent_group(key, now_ms)
         for key in self._requests.silence.stalled(now_ms):
             self._give_up(key,
                           "group stands still",
@@ -123,39 +124,42 @@
                           is_dead=False)
 
     def probe_down_runners(self, now_ms: float, data_centre: str = "") -> None:
-        """Asks runners that did not answer and that the list still names.
+        """Probes runners that are marked as down but are still listed.
 
-        A dead one has left the list by then. Believed down until a planner of
-        this node's asked, groups of a data centre that was cut off once got no
-        request of the others' nodes again.
+        A dead runner has left the list by then. Without these probes, only a
+        planner's probe would clear the mark: after a data centre had been
+        unreachable, its groups got no requests from remote nodes any more.
 
         Args:
             now_ms: The time.
-            data_centre: One that is heard again; its runners are asked at once.
+            data_centre: A data centre that is reachable again; its runners are
+                probed at once.
         """
         for known in list(self._view.known.values()):
             if not known.down_ms or not known.listed:
                 continue
-            is_back = known.runner.data_centre == data_centre
-            after_ms = BACK_ASK_MS if is_back else self._confirmed_ms / 2
+            has_returned = known.runner.data_centre == data_centre
+            after_ms = (RETURN_PROBE_INTERVAL_MS
+                        if has_returned else self._confirmed_alarm_ms / 2)
             runner = known.runner.id
-            asked_ms = max(known.unanswered_ms,
-                           self._asked_again_ms.get(runner, float("-inf")))
-            if now_ms - asked_ms < after_ms:
+            probed_ms = max(known.unanswered_ms,
+                            self._down_probed_ms.get(runner, float("-inf")))
+            if now_ms - probed_ms < after_ms:
                 continue
-            self._asked_again_ms[runner] = now_ms
-            self._spawn(self._ask(runner))
+            self._down_probed_ms[runner] = now_ms
+            self._spawn(self._probe_runner(runner))
 
-    async def _ask(self, runner: str) -> None:
+    async def _probe_runner(self, runner: str) -> None:
         await self._group_controller.probe(runner, "did not answer")
 
-    def _suspect(self, key: model.GroupKey, now_ms: float) -> None:
-        """Asks the members of a silent group, and sends it nothing meanwhile.
+    def _handle_silent_group(self, key: model.GroupKey, now_ms: float) -> None:
+        """Probes the members of a silent group, and avoids it meanwhile.
 
-        Its requests stay. After a restart of all nodes, with the prompts of
-        all callers being read at once, nearly every group was silent for some
-        node; its requests left, were read again elsewhere, and the next groups
-        fell silent, until hardly any answer came in time.
+        Its running requests stay. After a restart of all nodes, the prompts of
+        all callers are read at once, and nearly every group is silent for some
+        node. When requests were diverted then, their prompts were read again in
+        other groups, which fell silent in turn, until hardly any answer came in
+        time.
         """
         _LOG.warning(
             logs.line("group-silent",
@@ -165,14 +169,15 @@
         self._metrics.count("groups_silent_total")
         self._requests.available_groups.avoid(
             key, now_ms + availablegroups.SUSPECT_AVOID_MS)
-        # Whoever found it first asks and tells all: of seventy nodes that
-        # noticed one death each asked its members and told the others.
-        asked_ms = self._asked_by_peer_ms.get(key, float("-inf"))
-        if now_ms - asked_ms < availablegroups.SUSPECT_AVOID_MS:
+        # Only the first node that finds the group silent probes it and alerts
+        # the others; otherwise each of seventy nodes that noticed one failure
+        # did both.
+        probed_ms = self._probed_by_peer_ms.get(key, float("-inf"))
+        if now_ms - probed_ms < availablegroups.SUSPECT_AVOID_MS:
             return
-        self._alarms[key] = _Told(now_ms, False)
+        self._alarms[key] = _RaisedAlarm(now_ms, False)
         self.probe(key, "silent")
-        self._spread()
+        self._send_updates()
 
     def _give_up(self,
                  key: model.GroupKey,
@@ -185,9 +190,10 @@
                       requests=len(self._requests.relays_at(key)),
                       reason=reason))
         self._requests.available_groups.avoid(key, until_ms)
-        self._leave(key, reason, is_dead)
+        self._divert_requests(key, reason, is_dead)
 
-    def _leave(self, key: model.GroupKey, reason: str, is_dead: bool) -> None:
+    def _divert_requests(self, key: model.GroupKey, reason: str,
+                         is_dead: bool) -> None:
         for one in self._requests.relays_at(key):
             one.divert(reason, is_dead)
 
@@ -195,16 +201,16 @@
               key: model.GroupKey,
               reason: str,
               told: tuple[str, ...] = ()) -> None:
-        """Asks members of a group, unless it was done just now.
+        """Probes members of a group, unless they were probed recently.
 
         Args:
             key: The group.
             reason: Why, for the log.
-            told: Those that a peer found silent: they alone are asked. Empty
-                for all members.
+            told: Members that a peer reported as silent; only these are probed.
+                If empty, all members are.
         """
         now_ms = clock.now_ms()
-        if now_ms - self._probed_ms.get(key, float("-inf")) < PROBE_AGAIN_MS:
+        if now_ms - self._probed_ms.get(key, float("-inf")) < PROBE_INTERVAL_MS:
             return
         self._probed_ms[key] = now_ms
         members = self._view.members(key)
@@ -212,10 +218,10 @@
         self._spawn(self._probe_members(key, chosen or members, reason))
 
     def refused(self, key: model.GroupKey, reason: str) -> None:
-        """Looks into a group that refused a request, if this node plans for it.
+        """Probes a group that refused a request, if this node plans for it.
 
-        Mostly it is full. Asked by each of 80 nodes, the sixteen members of
-        each group of a busy hour got 11,000 questions in a minute.
+        Usually the group is just full. When each of 80 nodes probed its sixteen
+        members, the groups got 11,000 probes per minute in a busy hour.
         """
         if self._plans_for(key):
             self.probe(key, reason)
@@ -238,39 +244,42 @@
             if not answered
         }
         if not silent & was_up:
-            # Nothing new: told and looked into again for each such answer, two
-            # dead groups had all nodes ask and tell without an end.
-            self._leave(key, "member does not answer", is_dead=True)
+            # These members were down already. When that was reported and probed
+            # again, two dead groups kept all nodes probing and reporting
+            # without end.
+            self._divert_requests(key, "member does not answer", is_dead=True)
             return
-        self._alarms[key] = _Told(now_ms, True,
-                                  tuple(sorted(silent))[:MAX_TOLD_SILENT])
+        self._alarms[key] = _RaisedAlarm(
+            now_ms, True,
+            tuple(sorted(silent))[:MAX_REPORTED_SILENT])
         self._give_up(key, "member does not answer",
-                      now_ms + self._confirmed_ms)
-        self._spread()
-        self._look_around(key, members, now_ms)
-
-    def _look_around(self, key: model.GroupKey,
-                     members: list[fleetview.RunnerRecord],
-                     now_ms: float) -> None:
-        """Asks the groups that may be down for the same cause as two others.
-
-        A data centre that is cut off has all its groups down at once; requests
-        went from each to the next until their time was over. Two groups that
-        share a fabric domain tell only of that: with each domain that fell
-        dark, all runners of its data centre were asked.
+                      now_ms + self._confirmed_alarm_ms)
+        self._send_updates()
+        self._probe_related_groups(key, members, now_ms)
+
+    def _probe_related_groups(self, key: model.GroupKey,
+                              members: list[fleetview.RunnerRecord],
+                              now_ms: float) -> None:
+        """Probes the groups that may be down for the same cause as two others.
+
+        If a data centre is cut off, all its groups are down at once; without
+        these probes, requests were diverted from one to the next until their
+        deadline. Two groups that share a fabric domain only cast doubt on that
+        domain; otherwise each domain failure had all runners of the data centre
+        probed.
         """
         domains = _domains(members)
         for place in {each.runner.data_centre for each in members}:
-            last = self._place_down.get(place)
-            self._place_down[place] = _Down(now_ms, key, domains)
+            last = self._last_down_group.get(place)
+            self._last_down_group[place] = _DownGroup(now_ms, key, domains)
             if (last is None or last.key == key or
-                    now_ms - last.at_ms > TOGETHER_MS):
+                    now_ms - last.at_ms > SAME_CAUSE_MS):
                 continue
             shared = domains & last.domains
             for each in self._view.open_groups_in(place):
                 if shared and not shared & _domains(self._view.members(each)):
                     continue
-                if not self._requests.silence.moves(each, now_ms):
+                if not self._requests.silence.has_recent_event(each, now_ms):
                     where = "domain" if shared else place
                     self.probe(each, f"{where} may be cut off")
 
@@ -279,36 +288,38 @@
                 peer: str,
                 now_ms: float,
                 is_remote: bool = False) -> bool:
-        """Takes the alarm of another node; True where it is heeded as news.
+        """Processes the alarm of a peer; returns whether it was new.
 
         Args:
-            alarm: What it told.
-            peer: Its name.
+            alarm: The alarm.
+            peer: The peer's name.
             now_ms: The time.
-            is_remote: Whether it stands in another data centre: only a few
-                nodes here hear it, and these pass it on.
+            is_remote: Whether the peer is in a remote data centre. Only a few
+                nodes here receive its alarms, and these relay them.
         """
         since_ms = now_ms - alarm.age_ms
-        is_news = (self._hear_confirmed(alarm, peer, since_ms, now_ms)
-                   if alarm.confirmed else self._hear_question(alarm, since_ms))
-        if is_news and is_remote:
-            self._alarms[alarm.key] = _Told(since_ms, alarm.confirmed,
-                                            alarm.silent)
-        return is_news
-
-    def _hear_question(self, alarm: peermessage.Alarm, since_ms: float) -> bool:
-        before_ms = self._asked_by_peer_ms.get(alarm.key, float("-inf"))
-        self._asked_by_peer_ms[alarm.key] = since_ms
+        is_new = (self._receive_confirmed(alarm, peer, since_ms, now_ms)
+                  if alarm.confirmed else self._receive_unconfirmed(
+                      alarm, since_ms))
+        if is_new and is_remote:
+            self._alarms[alarm.key] = _RaisedAlarm(since_ms, alarm.confirmed,
+                                                   alarm.silent)
+        return is_new
+
+    def _receive_unconfirmed(self, alarm: peermessage.Alarm,
+                             since_ms: float) -> bool:
+        before_ms = self._probed_by_peer_ms.get(alarm.key, float("-inf"))
+        self._probed_by_peer_ms[alarm.key] = since_ms
         return since_ms - before_ms > availablegroups.SUSPECT_AVOID_MS
 
-    def _hear_confirmed(self, alarm: peermessage.Alarm, peer: str,
-                        since_ms: float, now_ms: float) -> bool:
-        if self._requests.silence.moves(alarm.key, now_ms):
-            # The peer may be cut off itself.
+    def _receive_confirmed(self, alarm: peermessage.Alarm, peer: str,
+                           since_ms: float, now_ms: float) -> bool:
+        if self._requests.silence.has_recent_event(alarm.key, now_ms):
+            # The group answers this node, so the peer itself may be cut off.
             return False
-        until_ms = since_ms + self._confirmed_ms
+        until_ms = since_ms + self._confirmed_alarm_ms
         if self._requests.available_groups.is_avoided(alarm.key,
-                                                      until_ms - TOGETHER_MS):
+                                                      until_ms - SAME_CAUSE_MS):
             return False
         _LOG.info(
             logs.line("alarm-heard",
--- a/cardamommill/gateway/nodelink.py
+++ b/cardamommill/gateway/nodelink.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from other nodes, and how nodes find each other."""
+"""Sends and receives datagrams between nodes, and discovers nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,66 +16,69 @@
 )
 from cardamommill.platform import storecalls, words
 
-# The table of nodes is read again this often, by all nodes together where they
-# are many, and sooner by a node that hears nobody: a new node writes itself
-# there and speaks to all that it finds.
-FIND_MS = 20_000.0
-FIND_TOGETHER_MS = 3300.0
-FIND_ALONE_MS = 2000.0
-FIND_RETRY_MS = 1000.0
-# After the store was restored nodes write themselves there again, one after
-# the other.
-REGISTER_EACH_MS = 20.0
-# A node that starts waits for so long at most to hear whom it can follow, and
-# looks this often. Datagrams are answered within a tick or two.
-FIRST_CONTACT_MS = 120.0
-CONTACT_LOOK_MS = 10.0
-# Nodes that start together hear each other one by one: who reads is known only
-# once no more come. By the first two heard, half of a fleet took itself for it.
-QUIET_MS = 30.0
-# Up to so many others a node that starts need not wait for any.
+# How often a node reads the table of nodes, to which each new node adds itself
+# and to whose nodes it sends messages. In a large fleet, the interval is the
+# one per node times the number of nodes, which bounds the reads of all nodes
+# together. A node without live peers reads more often.
+DISCOVERY_INTERVAL_MS = 20_000.0
+DISCOVERY_INTERVAL_PER_NODE_MS = 3300.0
+ISOLATED_DISCOVERY_INTERVAL_MS = 2000.0
+DISCOVERY_RETRY_MS = 1000.0
+# After the store was restored, all nodes add themselves to the table again.
+# Their writes are spread over this time per node.
+REGISTER_INTERVAL_MS = 20.0
+# How long a starting node waits at most for messages of nodes from which it can
+# read tables, and how often it checks. Peers answer within a tick or two.
+MAX_PEER_WAIT_MS = 120.0
+PEER_POLL_INTERVAL_MS = 10.0
+# Nodes that start together receive each other's messages one by one. Which of
+# them read from the store is known only after this long without a new peer:
+# going by the first two peers, half of a fleet took themselves for readers.
+NO_NEW_PEER_MS = 30.0
+# With at most this many other nodes, a starting node does not wait.
 SMALL_FLEET = 10
 
 _LOG = logbook.Logger("peers")
 
 
 class NodeLink:
-    """Speaks to other nodes."""
+    """Exchanges messages with other nodes over UDP."""
 
     def __init__(self, settings: entrysettings.EntrySettings,
                  others: peers.Peers,
                  compose: Callable[[float, peers.UpdateScope],
                                    peermessage.PeerMessage],
                  heard: Callable[[peermessage.PeerMessage, float],
-                                 None], came_back: Callable[[str],
+                                 None], on_return: Callable[[str],
                                                             None]) -> None:
-        """Makes it.
+        """Initializes the link without opening a socket.
 
         Args:
-            settings: Where to listen, and seeds.
-            others: What is known of other nodes.
-            compose: Returns the message for peers of one kind.
-            heard: Takes a message.
-            came_back: Takes the data centre of a node that was not heard of.
+            settings: The address to listen on, and the seeds.
+            others: The membership of other nodes.
+            compose: Returns the message for an update scope at a time.
+            heard: Called with each received message and its time.
+            on_return: Called with the data centre of a peer that was not alive
+                and is now.
         """
         self._settings = settings
         self._peers = others
         self._compose = compose
-        self._heard = heard
-        self._came_back = came_back
-        self._udp: asyncio.DatagramTransport | None = None
-        self._has_found = False
+        self._on_message = heard
+        self._on_return = on_return
+        self._transport: asyncio.DatagramTransport | None = None
+        self._has_read_nodes = False
 
     async def listen(self) -> None:
-        """Begins to hear and to speak."""
+        """Opens the socket and adds the seeds of the settings."""
         settings = self._settings
-        self._udp, _ = await asyncio.get_running_loop(
-        ).create_datagram_endpoint(lambda: _Datagrams(self._on_datagram),
+        self._transport, _ = await asyncio.get_running_loop(
+        ).create_datagram_endpoint(lambda: _DatagramProtocol(self._on_datagram),
                                    local_addr=(settings.ip, settings.peer_port))
         self.add_seeds(settings)
 
     def add_seeds(self, settings: entrysettings.EntrySettings) -> None:
-        """Speaks to the nodes that settings name, too."""
+        """Adds the seeds of settings to the addresses of peers."""
         for seed in settings.seeds:
             host, _ = entrysettings.address(seed)
             self._peers.add_address((host, settings.peer_port))
@@ -92,20 +95,20 @@
                 logs.line("peer-alive",
                           peer=message.node,
                           incarnation=message.incarnation))
-            self._came_back(message.data_centre)
-        self._heard(message, now_ms)
+            self._on_return(message.data_centre)
+        self._on_message(message, now_ms)
 
     def send_due(self, now_ms: float) -> None:
-        """Tells peers what is due."""
+        """Sends the messages that are due."""
         self._send(self._peers.due_peers(now_ms), now_ms)
 
     def send_now(self, now_ms: float, far: bool) -> None:
-        """Tells news at once; see `peers.Peers.urgent_peers`."""
+        """Sends an urgent update; see `peers.Peers.urgent_peers`."""
         self._send(self._peers.urgent_peers(now_ms, far), now_ms)
 
     def _send(self, told: list[tuple[peers.Peer, float]],
               now_ms: float) -> None:
-        if self._udp is None:
+        if self._transport is None:
             return
         bodies: dict[peers.UpdateScope, bytes] = {}
         for peer, interval_ms in told:
@@ -114,33 +117,33 @@
                 bodies[update_scope] = peermessage.encode_body(
                     self._compose(now_ms, update_scope))
             echo_ms = peer.last_message.sent_ms if peer.last_message else 0.0
-            self._udp.sendto(
+            self._transport.sendto(
                 peermessage.encode_datagram(echo_ms, interval_ms,
                                             bodies[update_scope]), peer.address)
 
     async def wait_for_peers(self) -> None:
-        """Returns once it is known whom this node follows, or soon after.
+        """Waits, up to a timeout, for the nodes to read tables from.
 
-        Each node that began by itself read the whole list of the fleet from
-        the store, though two of its data centre read it for all. Where nodes
-        are few none waits: reading for itself is soonest.
+        Without this wait, each starting node read the whole list of the fleet
+        from the store, though two nodes of its data centre read it for all. In
+        a small fleet no node waits, since reading the store itself is fastest.
         """
         began_ms = changed_ms = clock.now_ms()
         heard = 0
-        while clock.now_ms() - began_ms < FIRST_CONTACT_MS:
+        while clock.now_ms() - began_ms < MAX_PEER_WAIT_MS:
             others = self._peers.peers.values()
-            if self._has_found and len(others) <= SMALL_FLEET:
+            if self._has_read_nodes and len(others) <= SMALL_FLEET:
                 return
             near = sum(each.is_near for each in others)
             if near > heard:
                 heard, changed_ms = near, clock.now_ms()
-            is_quiet = clock.now_ms() - changed_ms >= QUIET_MS
-            if near >= sourceselector.READERS_PER_DATA_CENTRE and is_quiet:
+            is_settled = clock.now_ms() - changed_ms >= NO_NEW_PEER_MS
+            if near >= sourceselector.READERS_PER_DATA_CENTRE and is_settled:
                 return
-            await asyncio.sleep(CONTACT_LOOK_MS / 1000)
+            await asyncio.sleep(PEER_POLL_INTERVAL_MS / 1000)
 
     async def discover_nodes(self, store: storecalls.Store) -> None:
-        """Keeps finding nodes by the platform's table; never ends."""
+        """Discovers nodes through the platform's table; never returns."""
         registered_era = None
         while True:
             try:
@@ -151,38 +154,39 @@
                 rows = await store.table(words.NODES_TABLE)
             except exceptions.StoreError as error:
                 _LOG.warning(logs.line("nodes-unread", reason=str(error)))
-                await asyncio.sleep(FIND_RETRY_MS / 1000)
+                await asyncio.sleep(DISCOVERY_RETRY_MS / 1000)
                 continue
             for row in rows.rows:
                 address = (row.value.decode("ascii", "replace"),
                            self._settings.peer_port)
                 if self._peers.add_address(address):
                     _LOG.info(logs.line("node-found", node=row.key))
-            self._has_found = True
+            self._has_read_nodes = True
             others = len(self._peers.live_peers(clock.now_ms()))
             if await store.eras.wait_for_newer(registered_era,
-                                               _find_again_ms(others)):
-                # All nodes write their rows again, but not at once.
-                spread_ms = REGISTER_EACH_MS * (1 + others)
+                                               _discovery_interval_ms(others)):
+                # All nodes write their rows again; spread the load.
+                spread_ms = REGISTER_INTERVAL_MS * (1 + others)
                 await asyncio.sleep(random.uniform(0, spread_ms) / 1000)
 
 
-def _find_again_ms(others: int) -> float:
+def _discovery_interval_ms(others: int) -> float:
     if not others:
-        return FIND_ALONE_MS
-    return max(FIND_MS, FIND_TOGETHER_MS * (1 + others))
+        return ISOLATED_DISCOVERY_INTERVAL_MS
+    return max(DISCOVERY_INTERVAL_MS,
+               DISCOVERY_INTERVAL_PER_NODE_MS * (1 + others))
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    """Hands datagrams over."""
+class _DatagramProtocol(asyncio.DatagramProtocol):
+    """Passes received datagrams to a callback."""
 
-    def __init__(self, receive: Callable[[bytes, tuple[str, int]],
-                                         None]) -> None:
-        self._take = receive
+    def __init__(self, on_datagram: Callable[[bytes, tuple[str, int]],
+                                             None]) -> None:
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._take(data, addr)
+        self._on_datagram(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        # A peer without a process: its silence says the same.
+        # A peer whose process is gone. Its liveness timeout handles that.
         del exc
--- a/cardamommill/gateway/openedgroups.py
+++ b/cardamommill/gateway/openedgroups.py
@@ -1,17 +1,17 @@
-"""News of groups that opened: which are told, and which were heard."""
+"""Announcements of newly opened groups, sent to and received from peers."""
 
 import logbook
 
 from cardamommill import logs
 from cardamommill.gateway import alarms, clock, fleetview, model, peermessage
 
-_FORGOTTEN_MS = 10 * alarms.ANNOUNCE_MS
+_EXPIRY_MS = 10 * alarms.ANNOUNCE_MS
 
 _LOG = logbook.Logger("entry")
 
 
 class OpenedGroups:
-    """Groups opened by this node, or heard of from other data centres."""
+    """Opened groups to announce: this node's, and those it relays."""
 
     def __init__(self, view: fleetview.FleetView) -> None:
         self._view = view
@@ -19,18 +19,18 @@
                                                  peermessage.OpenedGroup]] = {}
 
     def note(self, opened: peermessage.OpenedGroup, now_ms: float) -> None:
-        """Has a group told to other nodes."""
+        """Adds a group to announce to peers."""
         self._opened[opened.key] = (now_ms, opened)
 
     def receive(self, opened: peermessage.OpenedGroup, peer: str,
                 is_remote: bool, now_ms: float) -> bool:
-        """Takes a peer's word; True where it is news.
+        """Processes a peer's announcement; returns whether it was new.
 
         Args:
             opened: The group.
-            peer: Who told.
-            is_remote: Whether the peer stands in another data centre; then the
-                nodes of this one are told, too.
+            peer: The peer's name.
+            is_remote: Whether the peer is in a remote data centre; if so, the
+                announcement is relayed within this one.
             now_ms: The time.
         """
         if not self._view.record_open_group(opened.head, opened.key,
@@ -43,11 +43,11 @@
 
     def updates_for_peers(self,
                           now_ms: float) -> tuple[peermessage.OpenedGroup, ...]:
-        """Returns what other nodes should hear."""
+        """Returns the groups to announce to peers."""
         return tuple(opened for at_ms, opened in self._opened.values()
                      if now_ms - at_ms < alarms.ANNOUNCE_MS)
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets what is old."""
-        clock.drop_expired(self._opened, lambda opened: opened[0],
-                           _FORGOTTEN_MS, now_ms)
+        """Drops announcements that are too old."""
+        clock.drop_expired(self._opened, lambda opened: opened[0], _EXPIRY_MS,
+                           now_ms)
--- a/cardamommill/gateway/silence.py
+++ b/cardamommill/gateway/silence.py
@@ -1,67 +1,71 @@
-"""Notices a group whose streams have all fallen silent.
+"""Detects groups of which no stream brings events any more.
 
-Silence is a question, not an answer: prompts that other nodes sent hold a group
-up for longer than this node can know. Its members are asked; only if one does
-not answer, or if the silence outlasts all that an engine may do between two
-events, have its requests reason to leave.
+Silence alone is no proof of a failure: prompts from other nodes can delay a
+group for longer than this node can know. So the members of a silent group are
+probed first. Its requests are diverted only if a member does not answer, or if
+the silence exceeds the longest possible pause between two events (a stall).
 """
 
 import dataclasses
 
 from cardamommill.gateway import model
 
-# Events of a pass come together, passes follow each other without a pause: a
-# group is suspect after this many passes without any event...
-PASSES = 3.0
-# ... and what a busy node and its links may add.
+# The events of a forward pass come together, and passes follow each other
+# without a pause. A group is silent after this many passes without any event,
+# plus a margin for delays in a busy node and on its links.
+SILENT_PASSES = 3.0
 MARGIN_MS = 60.0
-# For groups of which nothing was seen yet.
-FIRST_EVENT_PATIENCE_MS = 150.0
-# A group whose members answer stands still after this many of the longest
-# passes without any event...
+# Additional margin for groups without any event so far.
+FIRST_EVENT_MARGIN_MS = 150.0
+# A group whose members answer is stalled after this many of the longest passes
+# without any event.
 STALL_PASSES = 2.0
-# ... and, with nothing seen of it but a request that waits, no sooner than this
-# after its event was due: how many prompts others sent there is not known.
-LEAST_STALL_MS = 600.0
-# The weight of the newest pause in the mean.
-LEARNING = 0.2
+# Lower bound on the stall time, from when the event was due, if requests have
+# been sent but no event has come yet: the number of prompts from other nodes is
+# not known.
+MIN_STALL_MS = 600.0
+# Weight of the newest gap in the moving average.
+GAP_SMOOTHING = 0.2
 
 
 @dataclasses.dataclass(slots=True)
-class Watch:
-    """What this node sees of one group.
+class GroupWatch:
+    """What this node observes of one group.
 
     Attributes:
-        pass_ms: What a pass should take by the engine's arithmetic.
-        longest_ms: What it takes at most, with as much read as may be.
-        waiting: Sent requests without an event, with when it is expected.
-        streaming: Requests with events, with the time of the last.
-        last_event_ms: The last event of any of them.
-        reading_until_ms: Until when prompts of this node are being read.
-        is_suspect: Whether it was found silent, and no event came since.
-        is_stalled: Whether it was found to stand still since.
+        pass_ms: Expected duration of a forward pass, from the engine's figures.
+        max_pass_ms: Longest duration of a pass, with the most prompt tokens.
+        waiting: Requests without an event so far, with the time when the first
+            one is due.
+        streaming: Requests with events, with the time of the last one.
+        last_event_ms: When the last event of any request came.
+        mean_gap_ms: Moving average of the gaps between a request's events.
+        reading_until_ms: When the group should have read all prompts that this
+            node has sent.
+        is_silent: Whether it was found silent and no event has come since.
+        is_stalled: Whether it was found stalled and no event has come since.
     """
 
     pass_ms: float
-    longest_ms: float
+    max_pass_ms: float
     waiting: dict[str, float] = dataclasses.field(default_factory=dict)
     streaming: dict[str, float] = dataclasses.field(default_factory=dict)
     last_event_ms: float = 0.0
     mean_gap_ms: float = 0.0
     reading_until_ms: float = 0.0
-    is_suspect: bool = False
+    is_silent: bool = False
     is_stalled: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExpectedTiming:
-    """What a group should do with a request, all from when it is sent.
+    """Timing that is expected of a group for a request.
 
     Attributes:
-        pass_ms: What a pass of the group should take.
-        max_pass_ms: What one may take that reads as much as it can.
-        prefill_ms: What reading the request's prompt should take.
-        first_event_ms: When its first event should come.
+        pass_ms: Duration of a forward pass.
+        max_pass_ms: Duration of a pass with the most prompt tokens.
+        prefill_ms: Duration of reading the request's prompt.
+        first_event_ms: Time from sending the request to its first event.
     """
 
     pass_ms: float
@@ -71,38 +75,38 @@
 
 
 class SilenceDetector:
-    """Watches groups by the requests that this node has at them."""
+    """Watches groups through the requests that this node has sent them."""
 
     def __init__(self) -> None:
-        self._watches: dict[model.GroupKey, Watch] = {}
+        self._watches: dict[model.GroupKey, GroupWatch] = {}
 
     def sent(self, key: model.GroupKey, request: str, expected: ExpectedTiming,
              now_ms: float) -> None:
-        """Notes a request that went to a group."""
+        """Records a request that was sent to a group."""
         watch = self._watches.setdefault(
-            key, Watch(expected.pass_ms, expected.max_pass_ms))
+            key, GroupWatch(expected.pass_ms, expected.max_pass_ms))
         watch.pass_ms = expected.pass_ms
-        watch.longest_ms = expected.max_pass_ms
+        watch.max_pass_ms = expected.max_pass_ms
         watch.waiting[request] = now_ms + expected.first_event_ms
         watch.reading_until_ms = (max(watch.reading_until_ms, now_ms) +
                                   expected.prefill_ms)
 
     def event(self, key: model.GroupKey, request: str, now_ms: float) -> None:
-        """Notes an event of a request."""
+        """Records an event of a request."""
         watch = self._watches.get(key)
         if watch is None:
             return
         watch.waiting.pop(request, None)
         before_ms = watch.streaming.get(request)
         if before_ms is not None:
-            watch.mean_gap_ms += LEARNING * (now_ms - before_ms -
-                                             watch.mean_gap_ms)
+            watch.mean_gap_ms += GAP_SMOOTHING * (now_ms - before_ms -
+                                                  watch.mean_gap_ms)
         watch.streaming[request] = now_ms
         watch.last_event_ms = now_ms
-        watch.is_suspect = watch.is_stalled = False
+        watch.is_silent = watch.is_stalled = False
 
     def ended(self, key: model.GroupKey, request: str) -> None:
-        """Notes that a request is no longer at a group."""
+        """Records that a request is no longer at a group."""
         watch = self._watches.get(key)
         if watch is None:
             return
@@ -110,57 +114,57 @@
         watch.streaming.pop(request, None)
 
     def silent(self, now_ms: float) -> list[model.GroupKey]:
-        """Returns the groups that have newly fallen silent."""
+        """Returns the groups that have become silent since the last call."""
         found = []
         for key, watch in list(self._watches.items()):
             if not watch.waiting and not watch.streaming:
                 if now_ms - watch.last_event_ms > 10_000:
                     del self._watches[key]
                 continue
-            if not watch.is_suspect and _is_overdue(watch, now_ms):
-                watch.is_suspect = True
+            if not watch.is_silent and _is_overdue(watch, now_ms):
+                watch.is_silent = True
                 found.append(key)
         return found
 
     def stalled(self, now_ms: float) -> list[model.GroupKey]:
-        """Returns the groups that newly stand still, whoever answers there."""
+        """Returns the silent groups that have stalled since the last call."""
         found = []
         for key, watch in self._watches.items():
-            if watch.is_suspect and not watch.is_stalled and _stands_still(
+            if watch.is_silent and not watch.is_stalled and _has_stalled(
                     watch, now_ms):
                 watch.is_stalled = True
                 found.append(key)
         return found
 
-    def moves(self, key: model.GroupKey, now_ms: float) -> bool:
-        """Whether this node had an event of a group a moment ago."""
+    def has_recent_event(self, key: model.GroupKey, now_ms: float) -> bool:
+        """Whether the last event of a group is too recent for silence."""
         watch = self._watches.get(key)
         return (watch is not None and
                 now_ms - watch.last_event_ms < _allowed_ms(watch))
 
 
-def _allowed_ms(watch: Watch) -> float:
-    return PASSES * max(watch.pass_ms, watch.mean_gap_ms) + MARGIN_MS
+def _allowed_ms(watch: GroupWatch) -> float:
+    return SILENT_PASSES * max(watch.pass_ms, watch.mean_gap_ms) + MARGIN_MS
 
 
-def _is_overdue(watch: Watch, now_ms: float) -> bool:
+def _is_overdue(watch: GroupWatch, now_ms: float) -> bool:
     if watch.streaming:
-        quiet_from_ms = max(
+        silent_since_ms = max(
             watch.last_event_ms,
             min(watch.reading_until_ms, watch.last_event_ms + 400))
-        return now_ms - quiet_from_ms > _allowed_ms(watch)
+        return now_ms - silent_since_ms > _allowed_ms(watch)
     return now_ms - _first_due_ms(watch) > (_allowed_ms(watch) +
-                                            FIRST_EVENT_PATIENCE_MS)
+                                            FIRST_EVENT_MARGIN_MS)
 
 
-def _stands_still(watch: Watch, now_ms: float) -> bool:
-    stall_ms = STALL_PASSES * watch.longest_ms + MARGIN_MS
+def _has_stalled(watch: GroupWatch, now_ms: float) -> bool:
+    stall_ms = STALL_PASSES * watch.max_pass_ms + MARGIN_MS
     if watch.streaming:
         return now_ms - watch.last_event_ms > stall_ms
     if not watch.waiting:
         return False
-    return now_ms - _first_due_ms(watch) > max(stall_ms, LEAST_STALL_MS)
+    return now_ms - _first_due_ms(watch) > max(stall_ms, MIN_STALL_MS)
 
 
-def _first_due_ms(watch: Watch) -> float:
+def _first_due_ms(watch: GroupWatch) -> float:
     return max(min(watch.waiting.values()), watch.last_event_ms)
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -1,4 +1,4 @@
-"""Tests of who looks into groups that fall silent or refuse."""
+"""Tests of alarms about groups that fall silent or refuse requests."""
 
 import asyncio
 import types
@@ -36,24 +36,24 @@
     ]
 
 
-class Keeper:
-    """Counts questions; all but the dead are answered."""
+class FakeGroupController:
+    """Records probes; all runners but the dead ones answer."""
 
     def __init__(self, view):
-        self.asked = []
+        self.probed = []
         self.dead = set()
         self._view = view
 
     async def probe(self, runner, reason):
         del reason
-        self.asked.append(runner)
+        self.probed.append(runner)
         if runner in self.dead:
             self._view.record_no_answer(runner, clock.now_ms())
         return runner not in self.dead
 
 
-class Relay:
-    """A request at a group; keeps why it was asked to leave."""
+class FakeRelay:
+    """A request at a group; records the reasons for which it is diverted."""
 
     def __init__(self):
         self.reasons = []
@@ -63,13 +63,13 @@
         self.is_dead = is_dead
 
 
-class Bench:
-    """The alarms of one node that sees one group of four.
+class AlarmsFixture:
+    """The alarms of one node with four groups of four members each.
 
     Attributes:
-        group_controller: Counts questions to members.
-        relay: A request at the group.
-        spoken: How often all peers were told.
+        group_controller: Records probes of members.
+        relay: A request at each group.
+        update_count: How many urgent updates were sent to peers.
     """
 
     def __init__(self, plans, domains=("d0", "d0", "d0")):
@@ -79,23 +79,23 @@
             for member in members(key, 4 + 4 * number, "b", domains[number])
         ]
         self.view = builders.view(*members(KEY, 0), *elsewhere)
-        self.group_controller = Keeper(self.view)
-        self.relay = Relay()
-        self.spoken = 0
+        self.group_controller = FakeGroupController(self.view)
+        self.relay = FakeRelay()
+        self.update_count = 0
         self.requests = types.SimpleNamespace(
             silence=silence.SilenceDetector(),
             available_groups=availablegroups.AvailableGroups(self.view),
             relays_at=lambda key: [self.relay])
         self.alarms = alarms.Alarms(
             self.view, self.requests, self.group_controller, metrics.Metrics(),
-            6000.0, lambda key: plans, self._speak,
+            6000.0, lambda key: plans, self._count_update,
             lambda work: asyncio.get_running_loop().create_task(work))
 
-    def _speak(self):
-        self.spoken += 1
+    def _count_update(self):
+        self.update_count += 1
 
     def fall_silent(self, key=KEY, for_ms=500):
-        """Has a request wait for its first event for far too long."""
+        """Makes a group silent: a request's first event is long overdue."""
         now_ms = clock.now_ms()
         expected = silence.ExpectedTiming(40.0, 300.0, 20.0, 100.0)
         self.requests.silence.sent(key, "r1", expected, now_ms - for_ms)
@@ -104,8 +104,8 @@
     def is_avoided(self, key=KEY):
         return key in self.avoided
 
-    def look_back(self):
-        """Keeps which groups are avoided while the run's clock is read."""
+    def take_snapshot(self):
+        """Stores the alarms and avoided groups while the virtual clock runs."""
         self.updates = self.alarms.updates_for_peers(clock.now_ms())
         self.avoided = {
             key for key in (KEY, OTHER, THIRD, FOURTH)
@@ -113,32 +113,32 @@
         }
 
 
-def play(script, plans=False, then=None, **fields):
+def run(script, plans=False, after_script=None, **fields):
 
     async def main():
-        bench = Bench(plans, **fields)
+        bench = AlarmsFixture(plans, **fields)
         script(bench)
         await asyncio.sleep(0.1)
-        if then is not None:
-            await then(bench)
-        bench.look_back()
+        if after_script is not None:
+            await after_script(bench)
+        bench.take_snapshot()
         return bench
 
     with virtualloop.running(1) as loop:
         return loop.run_until_complete(main())
 
 
-def test_first_to_find_a_group_silent_asks_and_tells():
-    bench = play(lambda bench: bench.fall_silent())
-    assert len(bench.group_controller.asked) == 4
-    assert bench.spoken == 1
+def test_first_node_to_find_a_silent_group_probes_and_reports_it():
+    bench = run(lambda bench: bench.fall_silent())
+    assert len(bench.group_controller.probed) == 4
+    assert bench.update_count == 1
 
 
-def test_whoever_has_heard_of_it_neither_asks_nor_tells():
-    """A member dies; each of many nodes notices within some ms.
+def test_node_that_received_an_alarm_neither_probes_nor_reports():
+    """A member fails, and many nodes notice it within a few milliseconds.
 
-    Were all of them to ask its sixteen members and to tell all others, one
-    death would cost thousands of questions and datagrams.
+    If each of them probed the group's sixteen members and alerted all nodes,
+    one failure would cost thousands of probes and datagrams.
     """
 
     def script(bench):
@@ -146,55 +146,56 @@
                              clock.now_ms())
         bench.fall_silent()
 
-    bench = play(script)
-    assert not bench.group_controller.asked
-    assert not bench.spoken
+    bench = run(script)
+    assert not bench.group_controller.probed
+    assert not bench.update_count
 
 
-def test_group_that_refuses_is_looked_into_by_its_planner_alone():
+def test_refusing_group_is_probed_by_its_planner_only():
 
     def script(bench):
         bench.alarms.refused(KEY, "runner said 503")
 
-    assert not play(script).group_controller.asked
-    assert len(play(script, plans=True).group_controller.asked) == 4
+    assert not run(script).group_controller.probed
+    assert len(run(script, plans=True).group_controller.probed) == 4
 
 
 def test_silent_group_whose_members_answer_keeps_its_requests():
-    """All callers are back at once after a restart of all nodes.
+    """After a restart of all nodes, all callers return at once.
 
-    Their prompts hold each group up for longer than any one node can know.
-    Were its requests to leave, their prompts would be read again elsewhere and
-    the next group would fall silent.
+    Their prompts delay each group for longer than a single node can know. If
+    requests were diverted, their prompts would be read again in another group,
+    which would fall silent in turn.
     """
-    bench = play(lambda bench: bench.fall_silent())
-    assert bench.group_controller.asked and not bench.relay.reasons
+    bench = run(lambda bench: bench.fall_silent())
+    assert bench.group_controller.probed and not bench.relay.reasons
     assert not bench.is_avoided()
 
 
-def test_requests_leave_a_group_with_a_member_that_does_not_answer():
+def test_requests_are_diverted_when_a_member_does_not_answer():
 
     def script(bench):
         bench.group_controller.dead = {"i-2"}
         bench.fall_silent()
 
-    bench = play(script)
+    bench = run(script)
     assert bench.relay.reasons == ["member does not answer"]
     assert bench.is_avoided()
-    assert bench.spoken == 2
+    assert bench.update_count == 2
 
 
-def test_requests_leave_a_group_that_stands_still_though_all_answer():
-    bench = play(lambda bench: bench.fall_silent(for_ms=1500))
+def test_requests_are_diverted_from_a_stalled_group():
+    bench = run(lambda bench: bench.fall_silent(for_ms=1500))
     assert bench.relay.reasons == ["group stands still"]
     assert not bench.relay.is_dead
 
 
-def test_second_group_down_in_a_data_centre_has_all_its_groups_asked():
-    """A data centre is cut off; only two of its groups have requests of here.
+def test_two_groups_down_have_their_data_centre_probed():
+    """A data centre is cut off while two of its groups have local requests.
 
-    The others look sound until somebody tries them: requests went from each to
-    the next until their callers had left.
+    Without probes, its other groups look healthy until a request is sent there,
+    and requests would be diverted from one to the next until their callers
+    have left.
     """
 
     def script(bench):
@@ -202,21 +203,23 @@
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
-    bench = play(script)
+    bench = run(script)
     assert bench.is_avoided(FOURTH)
-    assert "i-0" not in bench.group_controller.asked
+    assert "i-0" not in bench.group_controller.probed
 
 
-@pytest.mark.parametrize("domains,is_asked", [
+@pytest.mark.parametrize("domains,is_probed", [
     (("d0", "d0", "d1"), False),
     (("d0", "d0", "d0"), True),
     (("d0", "d1", "d2"), True),
 ])
-def test_two_groups_down_in_a_domain_have_that_domain_asked(domains, is_asked):
-    """A fabric domain falls dark and two of its groups are found down.
+def test_two_groups_down_in_a_domain_have_only_that_domain_probed(
+        domains, is_probed):
+    """A fabric domain fails, and two of its groups are found down.
 
-    All runners of the data centre were asked, by each node that found two.
-    Where the two share no domain, the data centre may be cut off.
+    If the two groups share that domain, probing all runners of the data centre
+    is needless, and each node that found the two groups down would do so. If
+    they share no domain, the data centre may be cut off.
     """
 
     def script(bench):
@@ -224,13 +227,13 @@
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
-    bench = play(script, domains=domains)
-    assert ("i-12" in bench.group_controller.asked) is is_asked
-    assert bench.is_avoided(FOURTH) is is_asked
+    bench = run(script, domains=domains)
+    assert ("i-12" in bench.group_controller.probed) is is_probed
+    assert bench.is_avoided(FOURTH) is is_probed
 
 
-def test_alarm_of_a_peer_is_no_reason_to_leave_a_group_that_moves():
-    """The peer is cut off itself, and finds every group down."""
+def test_alarm_is_ignored_for_a_group_with_recent_events():
+    """An isolated peer finds every group down."""
 
     def script(bench):
         bench.fall_silent(for_ms=0)
@@ -238,42 +241,42 @@
         bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True), "n2",
                              clock.now_ms())
 
-    bench = play(script)
+    bench = run(script)
     assert not bench.relay.reasons and not bench.is_avoided()
 
 
-def test_alarm_of_a_peer_that_found_a_member_down_is_heeded_once():
+def test_confirmed_alarm_takes_effect_once():
 
     def script(bench):
         for _ in range(3):
             bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True), "n2",
                                  clock.now_ms())
 
-    bench = play(script)
+    bench = run(script)
     assert bench.relay.reasons == ["a peer found a member down"]
     assert bench.is_avoided()
 
 
-def test_planner_asks_whom_a_peer_found_silent():
-    """Asked by the peer a moment ago, 31 of 32 members have answered it."""
+def test_planner_probes_members_that_a_peer_found_silent():
+    """The peer has just probed all 32 members, and 31 of them answered."""
 
     def script(bench):
         bench.group_controller.dead = {"i-2"}
         bench.alarms.receive(peermessage.Alarm(KEY, 10.0, True, ("i-2",)), "n2",
                              clock.now_ms())
 
-    bench = play(script, plans=True)
-    assert bench.group_controller.asked == ["i-2"]
+    bench = run(script, plans=True)
+    assert bench.group_controller.probed == ["i-2"]
     assert bench.view.known["i-2"].down_ms
     (told,) = bench.updates
     assert told.silent == ("i-2",)
 
 
-def test_runners_of_a_data_centre_that_is_heard_again_are_asked():
-    """It was cut off; this node plans for no data centre and found all down.
+def test_runners_of_a_returning_data_centre_are_probed_once():
+    """The data centre was cut off, and this node marked its runners as down.
 
-    Nothing else would tell it that they answer: their groups got no request
-    of here again for as long as they stood.
+    The node is no planner, so nothing else shows it that they answer again, and
+    their groups would get no more requests from it.
     """
 
     def script(bench):
@@ -282,30 +285,30 @@
         bench.alarms.probe_down_runners(clock.now_ms(), "b")
         bench.alarms.probe_down_runners(clock.now_ms(), "b")
 
-    bench = play(script)
-    assert sorted(bench.group_controller.asked) == sorted(
+    bench = run(script)
+    assert sorted(bench.group_controller.probed) == sorted(
         f"i-{number}" for number in range(4, 16))
 
 
-def test_runner_that_is_down_and_still_listed_is_asked_again_in_time():
-    """A lost packet was taken for its death; no planner of here asks it."""
+def test_listed_runner_that_is_down_is_probed_again():
+    """A lost packet made it look dead, and this node is no planner."""
 
     def script(bench):
         now_ms = clock.now_ms()
         bench.view.record_no_answer("i-0", now_ms)
         bench.alarms.probe_down_runners(now_ms + 1000)
-        assert not bench.group_controller.asked
+        assert not bench.group_controller.probed
         bench.alarms.probe_down_runners(now_ms + 3100)
 
-    assert play(script).group_controller.asked == ["i-0"]
+    assert run(script).group_controller.probed == ["i-0"]
 
 
-def test_dead_groups_are_asked_and_told_of_once():
+def test_dead_groups_are_reported_once():
     """Two groups of a data centre lose a member within 0.5 s.
 
-    Each has all groups there asked. Asked themselves, the dead ones do not
-    answer again; were that news, each would have all asked anew, and every node
-    told, for as long as the dead are remembered.
+    This causes probes of all groups there, including the two dead ones. If
+    their repeated failure to answer counted as new, it would cause further
+    probes and reports to all nodes until the dead members expire.
     """
 
     def script(bench):
@@ -313,22 +316,22 @@
         bench.fall_silent(OTHER)
         bench.fall_silent(THIRD)
 
-    async def asks_in_turn(bench):
+    async def probe_repeatedly(bench):
         for _ in range(20):
             await asyncio.sleep(0.3)
             for key in (OTHER, THIRD, FOURTH):
                 bench.alarms.probe(key, "asked")
 
-    bench = play(script, then=asks_in_turn)
-    assert bench.spoken == 4
+    bench = run(script, after_script=probe_repeatedly)
+    assert bench.update_count == 4
     assert sum(reason == "member does not answer"
                for reason in bench.relay.reasons) >= 2
 
 
-def test_what_is_old_is_forgotten():
-    """A node lives for months, and each group has a name of its own.
+def test_old_entries_are_dropped():
+    """A node runs for months, and each group has a unique name.
 
-    What is kept of each that ever fell silent would fill the process.
+    Without expiry, entries of all groups ever silent would exhaust its memory.
     """
 
     def script(bench):
@@ -340,12 +343,12 @@
     def kept(bench):
         return [
             bench.alarms._alarms, bench.alarms._probed_ms,
-            bench.alarms._asked_by_peer_ms
+            bench.alarms._probed_by_peer_ms
         ]
 
-    bench = play(script)
+    bench = run(script)
     known_ms = max(bench.alarms._probed_ms.values())
-    bench.alarms.drop_expired(known_ms + alarms.FORGET_MS - 200)
+    bench.alarms.drop_expired(known_ms + alarms.EXPIRY_MS - 200)
     assert all(kept(bench))
-    bench.alarms.drop_expired(known_ms + alarms.FORGET_MS + 200)
+    bench.alarms.drop_expired(known_ms + alarms.EXPIRY_MS + 200)
     assert not any(kept(bench))
--- a/tests/gateway/test_loadsums.py
+++ b/tests/gateway/test_loadsums.py
@@ -1,4 +1,4 @@
-"""Tests of what the nodes of a data centre tell the others as sums."""
+"""Tests of the load sums that data centres exchange."""
 
 from cardamommill.gateway import inflight, loadsums, model, peers
 from tests.gateway import test_peers
@@ -16,26 +16,26 @@
 
 
 def fleet(own="a-1", near=12, far=12):
-    """Returns a node that has heard all nodes of three data centres."""
-    who = test_peers.node(own)
+    """Returns a node with messages from all nodes of three data centres."""
+    membership = test_peers.node(own)
     names = [f"a-{number}" for number in range(1, near + 1)]
     names += [
         f"{place}-{number}" for place in "bc" for number in range(1, far + 1)
     ]
     test_peers.receive(
-        who, 1000,
+        membership, 1000,
         *(test_peers.message(name, name[0]) for name in names if name != own))
-    who.choose_reporters(1000)
-    who.due_peers(1000)
-    return who
+    membership.choose_reporters(1000)
+    membership.due_peers(1000)
+    return membership
 
 
 def names(told):
     return sorted(peer.last_message.node for peer, _ in told)
 
 
-def test_news_goes_to_this_data_centre_and_two_nodes_of_each_other():
-    """Each group found silent was told to 194 nodes, 156 of them far away."""
+def test_urgent_update_goes_to_this_data_centre_and_remote_reporters():
+    """Otherwise each alarm is sent to 194 nodes, 156 of them remote."""
     told = names(fleet("a-7").urgent_peers(1100, far=True))
     assert [name for name in told if name[0] != "a"
            ] == ["b-1", "b-10", "c-1", "c-10"]
@@ -44,30 +44,31 @@
         1100, far=False)) == [name for name in told if name[0] == "a"]
 
 
-def test_two_nodes_of_a_data_centre_report_and_others_say_that_they_live():
+def test_only_reporters_send_loads_to_remote_data_centres():
     reporter, other = fleet("a-1"), fleet("a-7")
     assert reporter.is_reporter and not other.is_reporter
 
-    def audiences(who):
+    def update_scopes(membership):
         return {
-            each.last_message.node: who.update_scope(each)
-            for each in who.peers.values()
+            each.last_message.node: membership.update_scope(each)
+            for each in membership.peers.values()
         }
 
-    assert audiences(reporter)["b-1"] is peers.UpdateScope.REPORTER
-    assert audiences(reporter)["b-2"] is peers.UpdateScope.FAR
-    assert audiences(reporter)["a-7"] is peers.UpdateScope.NEAR
-    assert audiences(other)["b-1"] is peers.UpdateScope.FAR
+    assert update_scopes(reporter)["b-1"] is peers.UpdateScope.REPORTER
+    assert update_scopes(reporter)["b-2"] is peers.UpdateScope.FAR
+    assert update_scopes(reporter)["a-7"] is peers.UpdateScope.NEAR
+    assert update_scopes(other)["b-1"] is peers.UpdateScope.FAR
 
 
-def test_few_nodes_tell_each_other_all():
-    """Each is heard often enough to place by; sums would be older."""
-    who = fleet(near=2, far=2)
-    assert {who.update_scope(each) for each in who.peers.values()
-           } == {peers.UpdateScope.NEAR}
+def test_small_fleet_exchanges_full_updates():
+    """Their messages are frequent enough for placement; sums would be older."""
+    membership = fleet(near=2, far=2)
+    assert {
+        membership.update_scope(each) for each in membership.peers.values()
+    } == {peers.UpdateScope.NEAR}
 
 
-def test_next_node_reports_where_a_reporter_died():
+def test_next_node_becomes_reporter_after_a_failure():
     late = test_peers.node("a-3")
     everyone = [test_peers.message(f"a-{each}", "a") for each in (1, 2)]
     test_peers.receive(late, 1000, *everyone)
@@ -78,21 +79,21 @@
     assert late.is_reporter
 
 
-def test_sums_are_those_of_near_nodes_alone():
-    who = test_peers.node()
+def test_near_loads_include_only_this_data_centre():
+    membership = test_peers.node()
     test_peers.receive(
-        who, 1000, test_peers.message("a-2", "a", in_flight={KEY: ONE}),
+        membership, 1000, test_peers.message("a-2", "a", in_flight={KEY: ONE}),
         test_peers.message("a-3", "a", in_flight={
             KEY: ONE,
             OTHER: ONE
         }), test_peers.message("b-1", "b", in_flight={KEY: ONE}))
-    assert who.near_loads() == {
+    assert membership.near_loads() == {
         KEY.short_id: ONE.plus(ONE),
         OTHER.short_id: ONE
     }
 
 
-def test_reporter_adds_up_the_other_data_centres_and_passes_that_on():
+def test_reporter_relays_total_of_remote_data_centres():
     reporter, other = loadsums.RemoteLoads(), loadsums.RemoteLoads()
     reporter.receive(load_sums(g=2, h=1), "b", 1000)
     reporter.receive(load_sums(g=3), "c", 1200)
@@ -103,46 +104,50 @@
     assert other.loads(1400) == told.loads
 
 
-def test_younger_of_two_reporters_counts_and_not_both():
+def test_newer_report_of_two_reporters_is_used():
     one = loadsums.RemoteLoads()
     one.receive(load_sums(100.0, g=2), None, 1000)
     one.receive(load_sums(900.0, g=7), None, 1010)
     assert one.loads(1020) == load_sums(g=2).loads
 
 
-def test_sums_that_are_not_told_anew_end():
-    """Their data centre is cut off, or its reporters died."""
+def test_load_sums_expire():
+    """Their data centre is cut off, or its reporters have failed."""
     reporter, other = loadsums.RemoteLoads(), loadsums.RemoteLoads()
     reporter.receive(load_sums(g=2), "b", 1000)
     other.receive(load_sums(g=2), None, 1000)
-    assert reporter.loads(1000 + loadsums.SUMS_AGE_MS + 1) == {}
-    assert reporter.sums_to_relay(1000 + loadsums.SUMS_AGE_MS + 1) is None
-    assert other.loads(1000 + 2 * loadsums.SUMS_AGE_MS + 1) == {}
+    assert reporter.loads(1000 + loadsums.MAX_SUMS_AGE_MS + 1) == {}
+    assert reporter.sums_to_relay(1000 + loadsums.MAX_SUMS_AGE_MS + 1) is None
+    assert other.loads(1000 + 2 * loadsums.MAX_SUMS_AGE_MS + 1) == {}
 
 
-def test_dark_data_centre_is_planned_for_by_another():
-    """All its nodes die. Single ones are not missed for minutes.
+def test_data_centre_whose_reports_cease_is_planned_for_by_another():
+    """All its nodes fail, but their liveness timeouts take minutes.
 
-    Its groups would not be mended until the last of them is.
+    Until the last of these expired, nobody would replace its broken groups.
     """
-    who = fleet()
+    membership = fleet()
     far = [f"b-{number}" for number in range(1, 13)]
     test_peers.receive(
-        who, 2000,
+        membership, 2000,
         *(test_peers.message(name,
                              "b",
                              2.0,
                              interval_ms=60_000.0,
                              load_sums=load_sums() if name == "b-1" else None)
           for name in far))
-    assert who.planned_data_centres(("a", "b"), 3000) == {"a"}
-    later_ms = 2000 + peers.DARK_MS + 1
-    assert who.planned_data_centres(("a", "b"), later_ms) == {"a", "b"}
+    assert membership.planned_data_centres(("a", "b"), 3000) == {"a"}
+    later_ms = 2000 + peers.REPORTS_TIMEOUT_MS + 1
+    assert membership.planned_data_centres(("a", "b"), later_ms) == {"a", "b"}
 
 
-def test_node_that_has_just_started_is_told_in_the_next_tick():
-    """It follows whom it hears first; heartbeats are up to a second apart."""
-    who = fleet("a-1")
-    assert not who.due_peers(1020)
-    test_peers.receive(who, 1030, test_peers.message("a-5", "a", incarnation=2))
-    assert "a-5" in names(who.due_peers(1040))
+def test_restarted_peer_gets_a_message_in_the_next_tick():
+    """It takes its tables from the first nodes that send to it.
+
+    Regular heartbeats are up to a second apart.
+    """
+    membership = fleet("a-1")
+    assert not membership.due_peers(1020)
+    test_peers.receive(membership, 1030,
+                       test_peers.message("a-5", "a", incarnation=2))
+    assert "a-5" in names(membership.due_peers(1040))
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -1,14 +1,14 @@
-"""Tests of noticing groups that fall silent."""
+"""Tests of the detection of silent and stalled groups."""
 
 from cardamommill.gateway import model, silence
 
 KEY = model.GroupKey("g", 1)
 PASS_MS = 46.0
-LONGEST_MS = 300.0
+MAX_PASS_MS = 300.0
 
 
 def expected(prefill_ms, first_event_ms):
-    return silence.ExpectedTiming(PASS_MS, LONGEST_MS, prefill_ms,
+    return silence.ExpectedTiming(PASS_MS, MAX_PASS_MS, prefill_ms,
                                   first_event_ms)
 
 
@@ -20,15 +20,16 @@
         now_ms += PASS_MS
 
 
-def test_group_that_goes_on_is_not_silent():
+def test_group_with_regular_events_is_not_silent():
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     assert not detector.silent(2020)
 
 
-def test_group_is_silent_within_some_hundred_ms():
-    # A member dies: the head accepts on and nothing moves. Its own word comes
-    # after four seconds; callers leave after two.
+def test_silence_is_detected_within_300_ms():
+    # After a member's failure, the head still accepts requests but makes no
+    # progress. It reports the failure after four seconds; callers leave after
+    # two.
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     noticed = next(
@@ -36,15 +37,15 @@
     assert noticed <= 2300
 
 
-def test_silence_is_told_once():
+def test_silent_group_is_returned_once():
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     assert detector.silent(2500) == [KEY]
     assert not detector.silent(2600)
 
 
-def test_silent_group_stands_still_once_no_pass_takes_as_long():
-    """All members answer, yet nothing moves: one is cut from the head alone."""
+def test_silent_group_stalls_after_the_longest_passes():
+    """All members answer, but one of them can't reach the head."""
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     assert detector.silent(2500) == [KEY]
@@ -53,8 +54,8 @@
     assert not detector.stalled(3100)
 
 
-def test_long_pass_is_no_standstill():
-    """Prompts that other nodes sent are read: the next event takes 0.5 s."""
+def test_long_pass_is_no_stall():
+    """While prompts from other nodes are read, the next event takes 0.5 s."""
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     detector.silent(2400)
@@ -63,15 +64,15 @@
     assert not detector.stalled(2700)
 
 
-def test_group_moves_while_its_events_come():
+def test_recent_event_expires():
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
-    assert detector.moves(KEY, 2100)
-    assert not detector.moves(KEY, 2600)
+    assert detector.has_recent_event(KEY, 2100)
+    assert not detector.has_recent_event(KEY, 2600)
 
 
-def test_waiting_request_alone_shows_a_standstill_late():
-    """What others sent to a group is not known to a node that just began."""
+def test_group_without_events_stalls_later():
+    """A node that just started does not know what others sent to a group."""
     detector = silence.SilenceDetector()
     detector.sent(KEY, "r", expected(20.0, 100.0), 0.0)
     assert detector.silent(600) == [KEY]
@@ -79,14 +80,14 @@
     assert detector.stalled(900) == [KEY]
 
 
-def test_first_event_that_does_not_come_is_noticed():
+def test_overdue_first_event_is_silence():
     detector = silence.SilenceDetector()
     detector.sent(KEY, "r", expected(20.0, 100.0), 0.0)
     assert not detector.silent(200)
     assert detector.silent(1000) == [KEY]
 
 
-def test_long_prompt_that_is_read_is_no_silence():
+def test_reading_a_long_prompt_is_no_silence():
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     detector.sent(KEY, "long", expected(250.0, 400.0), 2000.0)
@@ -100,10 +101,10 @@
     assert not detector.silent(9000)
 
 
-def test_event_after_an_alarm_takes_it_back():
+def test_event_ends_silence():
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     detector.silent(2500)
     detector.event(KEY, "r", 2510)
-    assert detector.moves(KEY, 2520)
+    assert detector.has_recent_event(KEY, 2520)
     assert detector.silent(3200) == [KEY]
