--- a/cardamommill/gateway/peermessage.py
+++ b/cardamommill/gateway/peermessage.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other in datagrams."""
+"""Encoding of the datagrams that nodes send each other."""
 
 import dataclasses
 import math
@@ -16,26 +16,26 @@
     reliability,
 )
 
-# Larger datagrams are cut into fragments, and one lost loses all.
-MAX_BYTES = 1400
+# Larger datagrams are fragmented, and losing one fragment loses all of them.
+MAX_DATAGRAM_BYTES = 1400
 FORMAT = 5
-# What nodes of former versions leave out at the end of their messages.
-FORMER_FORMATS: dict[int, list[Any]] = {3: [None, False, []], 4: [[]]}
-# The format, and what differs between receivers: `echo_ms`, `interval_ms`. All
-# else is packed once for all of them: for each it took a node of 71 some 3 ms
-# a heartbeat.
-_HEAD = struct.Struct("!Bdd")
+# Defaults for the trailing fields that messages of older formats lack.
+OLDER_FORMAT_DEFAULTS: dict[int, list[Any]] = {3: [None, False, []], 4: [[]]}
+# The format, and the fields that differ between receivers: `echo_ms` and
+# `interval_ms`. The rest is packed once for all receivers: packing it for each
+# one took a node in a fleet of 71 about 3 ms per heartbeat.
+_HEADER = struct.Struct("!Bdd")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Alarm:
-    """A group that a node found silent, or down, a while ago.
+    """A group that a node found silent or down.
 
     Attributes:
         key: The group.
-        age_ms: How long ago.
-        confirmed: Whether a member did not answer.
-        silent: Some of those that did not.
+        age_ms: How long ago it was found so.
+        confirmed: Whether a member did not answer a probe.
+        silent: Some of the members that did not answer.
     """
 
     key: model.GroupKey
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenedGroup:
-    """A group that its planner has seen open."""
+    """A group that was opened, as reported by its planner."""
 
     key: model.GroupKey
     model: str
@@ -55,31 +55,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """One datagram.
+    """The contents of one datagram.
 
     Attributes:
-        node: Who sends.
-        incarnation: The life of its process.
-        data_centre: Where it stands.
-        sent_ms: The sender's clock.
-        echo_ms: The newest `sent_ms` of the receiver that the sender has; 0
-            for none.
-        interval_ms: How soon the receiver will hear again.
-        config_version: The configuration that is in force at the sender.
-        config_confirmed_age_ms: For how long it has not been known as the
-            newest.
-        in_flight: What the sender has at each group.
-        alarms: Groups found silent of late.
-        opened_groups: Groups opened of late.
-        attempt_histories: Runners that failed requests of late.
-        has_seen_requests: Whether any caller's request has come.
-        stopping: Whether the sender is about to end.
-        planning_age_ms: For how long it has planned for which data centres.
-        load_sums: From a reporter: to another data centre the sums of its own,
-            to its own those of all others.
-        has_lost_store: Whether the store fails it.
-        limits: Rate limits that runners named, or lifted, of late; their times
-            are by the sender's clock.
+        node: The sender's name.
+        incarnation: Distinguishes the runs of the sender's process.
+        data_centre: The sender's data centre.
+        sent_ms: When it was sent, by the sender's clock.
+        echo_ms: The newest `sent_ms` that the sender has received from the
+            receiver; 0 for none.
+        interval_ms: Time until the sender's next message to the receiver.
+        config_version: The configuration in force at the sender.
+        config_confirmed_age_ms: Time since that configuration was last
+            confirmed as the newest.
+        in_flight: The sender's load at each group.
+        alarms: Groups recently found silent or down.
+        opened_groups: Recently opened groups.
+        attempt_histories: Runners that recently failed requests.
+        has_seen_requests: Whether the sender has received any caller's request.
+        stopping: Whether the sender is shutting down.
+        planning_age_ms: How long the sender has planned, by data centre.
+        load_sums: Only from a reporter: to remote data centres the load sums of
+            its own one, to its own one those of all others.
+        has_lost_store: Whether the sender's calls to the store fail.
+        limits: Rate limits that runners recently set or lifted; times are by
+            the sender's clock.
     """
 
     node: str
@@ -107,32 +107,33 @@
 
     Args:
         echo_ms: As in `PeerMessage`.
-        interval_ms: The same.
-        body: What `encode_body` made for all receivers.
+        interval_ms: As in `PeerMessage`.
+        body: The result of `encode_body`, the same for all receivers.
     """
-    return _HEAD.pack(FORMAT, echo_ms, interval_ms) + body
+    return _HEADER.pack(FORMAT, echo_ms, interval_ms) + body
 
 
 def encode_body(message: PeerMessage) -> bytes:
-    """Returns what all receivers get; loads that do not fit are left out."""
-    in_flight = [[key.name, key.epoch, *_numbers(load)]
+    """Packs the part for all receivers, without loads that do not fit."""
+    in_flight = [[key.name, key.epoch, *_load_fields(load)]
                  for key, load in message.in_flight.items()]
-    load_sums = [[short_id, *_numbers(load)] for short_id, load in (
+    load_sums = [[short_id, *_load_fields(load)] for short_id, load in (
         message.load_sums.loads.items() if message.load_sums else ())]
     while True:
-        data = _packed(message, in_flight, load_sums)
-        if len(data) <= MAX_BYTES - _HEAD.size or not (in_flight or load_sums):
+        data = _pack(message, in_flight, load_sums)
+        if len(data) <= MAX_DATAGRAM_BYTES - _HEADER.size or not (in_flight or
+                                                                  load_sums):
             return data
         in_flight = in_flight[:len(in_flight) * 3 // 4]
         load_sums = load_sums[:len(load_sums) * 3 // 4]
 
 
-def _numbers(load: inflight.GroupLoad) -> list[int]:
+def _load_fields(load: inflight.GroupLoad) -> list[int]:
     return [load.requests, load.deferred, load.pending_prompt_tokens]
 
 
-def _packed(message: PeerMessage, in_flight: list[list[Any]],
-            load_sums: list[list[int]]) -> bytes:
+def _pack(message: PeerMessage, in_flight: list[list[Any]],
+          load_sums: list[list[int]]) -> bytes:
     packed: bytes = msgpack.packb([
         message.node, message.incarnation, message.data_centre, message.sent_ms,
         message.config_version,
@@ -144,38 +145,38 @@
         [[each.key.name, each.key.epoch, each.model, each.head]
          for each in message.opened_groups],
         [[
-            each.runner, each.well,
+            each.runner, each.successes,
             [[request, int(age_ms)] for request, age_ms in each.failures]
         ] for each in message.attempt_histories], message.has_seen_requests,
         message.stopping, {
             name: int(age) for name, age in message.planning_age_ms.items()
         }, [message.load_sums.age_ms, load_sums] if message.load_sums else None,
         message.has_lost_store,
-        _limits(message)
+        _encode_limits(message)
     ])
     return packed
 
 
 def decode(data: bytes, peer: str) -> PeerMessage:
-    """Returns the message of a datagram.
+    """Returns the message in a datagram.
 
     Raises:
-        BadPeerMessage: It is none that this version takes.
+        BadPeerMessage: The datagram is malformed or of an unknown format.
     """
     try:
-        form, echo_ms, interval_ms = _HEAD.unpack_from(data)
-        fields = msgpack.unpackb(memoryview(data)[_HEAD.size:])
+        form, echo_ms, interval_ms = _HEADER.unpack_from(data)
+        fields = msgpack.unpackb(memoryview(data)[_HEADER.size:])
         if form != FORMAT:
-            if form not in FORMER_FORMATS:
-                raise ValueError(f"format {form}")
-            fields += FORMER_FORMATS[form]
+            if form not in OLDER_FORMAT_DEFAULTS:
+                raise ValueError(f"unknown format {form}")
+            fields += OLDER_FORMAT_DEFAULTS[form]
         (node, incarnation, data_centre, sent_ms, version, age, in_flight,
          alarms, opened_groups, attempt_histories, has_seen_requests, stopping,
-         plans, load_sums, has_lost_store, limits) = fields
+         planning_age_ms, load_sums, has_lost_store, limits) = fields
         return PeerMessage(
             str(node), int(incarnation), str(data_centre), float(sent_ms),
             echo_ms, interval_ms, int(version), float(age), {
-                model.GroupKey(str(name), int(epoch)): _load(numbers)
+                model.GroupKey(str(name), int(epoch)): _decode_load(numbers)
                 for name, epoch, *numbers in in_flight
             },
             tuple(
@@ -191,23 +192,23 @@
                 for name, epoch, served, head in opened_groups),
             tuple(
                 reliability.AttemptHistory(
-                    str(runner), int(well),
+                    str(runner), int(successes),
                     tuple((int(request), float(age_ms))
                           for request, age_ms in failures))
-                for runner, well, failures in attempt_histories),
+                for runner, successes, failures in attempt_histories),
             bool(has_seen_requests), bool(stopping), {
-                str(name): float(age) for name, age in plans.items()
-            }, _sums(load_sums), bool(has_lost_store),
+                str(name): float(age) for name, age in planning_age_ms.items()
+            }, _decode_load_sums(load_sums), bool(has_lost_store),
             tuple(_limit(float(sent_ms), *each) for each in limits))
     except (ValueError, TypeError, AttributeError, struct.error,
             msgpack.exceptions.UnpackException,
             msgpack.exceptions.ExtraData) as error:
-        raise exceptions.BadPeerMessage(f"no message: {error!r}",
+        raise exceptions.BadPeerMessage(f"cannot decode datagram: {error!r}",
                                         step="peer datagram",
                                         peer=peer) from None
 
 
-def _limits(message: PeerMessage) -> list[list[Any]]:
+def _encode_limits(message: PeerMessage) -> list[list[Any]]:
     return [[
         each.runner, each.per_s,
         int(message.sent_ms - each.as_of_ms), each.origin, each.origin_ms
@@ -218,20 +219,20 @@
            origin_ms: Any) -> ratelimits.RateLimit:
     rate = None if per_s is None else float(per_s)
     if rate is not None and not 0 <= rate < math.inf:
-        raise ValueError(f"no rate: {rate}")
+        raise ValueError(f"rate limit not finite and at least 0: {rate}")
     return ratelimits.RateLimit(str(runner), rate, sent_ms - float(age_ms),
                                 str(origin), float(origin_ms))
 
 
-def _load(numbers: list[Any]) -> inflight.GroupLoad:
+def _decode_load(numbers: list[Any]) -> inflight.GroupLoad:
     requests, deferred, pending_prompt_tokens = map(int, numbers)
     return inflight.GroupLoad(requests, deferred, pending_prompt_tokens)
 
 
-def _sums(told: Any) -> loadsums.LoadSums | None:
+def _decode_load_sums(told: Any) -> loadsums.LoadSums | None:
     if told is None:
         return None
     age_ms, loads = told
     return loadsums.LoadSums(float(age_ms), {
-        int(short_id): _load(numbers) for short_id, *numbers in loads
+        int(short_id): _decode_load(numbers) for short_id, *numbers in loads
     })
--- a/cardamommill/gateway/ratelimits.py
+++ b/cardamommill/gateway/ratelimits.py
@@ -1,8 +1,8 @@
-"""Rate limits that runners name, shared out over all nodes.
+"""Rate limits set by runners, divided among all nodes.
 
-A limit holds for all nodes together. The nodes tell each other what a runner
-said last, and a few of them, which all nodes agree on by hash, send what it
-takes; the others send it nothing while its limit is confirmed.
+A limit holds for all nodes together. The nodes exchange the last limit that
+each runner has set. A few nodes, chosen by a hash on which all nodes agree,
+share the permitted rate; the others send nothing while the limit is confirmed.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -13,36 +13,36 @@
 from cardamommill import units
 from cardamommill.gateway import clock
 
-# A runner that takes nothing is asked now and then, or it could not say that
-# its limit is over.
-LEAST_PER_S = 0.2
-# How much of its share a node may save up, at least one request.
+# Lower bound on the rate: a runner with a limit of 0 still gets a request now
+# and then, or it could not lift its limit.
+MIN_PER_S = 0.2
+# Burst that a node may save up, in seconds of its share; at least one request.
 BURST_S = 0.25
-# A limit that nobody confirmed for this long is tried by all nodes in turn, so
-# that one of them finds out whether it still holds.
+# A limit without a confirmation for this long is stale. All nodes then take
+# turns in sending a request, to find out whether it still holds.
 STALE_MS = 10_000.0
-# For so long nodes tell that a limit was lifted: a few heartbeats.
-LIFTED_TOLD_MS = 3000.0
-FORGOTTEN_MS = 300_000.0
-# The newest that fit in a datagram beside all else.
-MAX_TOLD = 8
-# How long a share is used before it is worked out anew.
-SHARE_MS = 200.0
+# How long nodes report that a limit was lifted: a few heartbeats.
+LIFTED_REPORT_MS = 3000.0
+EXPIRY_MS = 300_000.0
+# How many limits a message to a peer holds, so that all else still fits.
+MAX_REPORTED = 8
+# How long a share is used before it is computed again.
+SHARE_LIFETIME_MS = 200.0
 _NO_TURN = -1
 
-Nodes = Mapping[str, Iterable[str]]
+NodesByDataCentre = Mapping[str, Iterable[str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a runner said last of its limit.
+    """The last known limit of a runner.
 
     Attributes:
-        runner: Its id.
-        per_s: Requests a second from all nodes; None where it has none.
-        as_of_ms: When that was true at the latest; nodes tell each other its
-            age instead.
-        origin: The node that was told so by the runner.
+        runner: The runner's ID.
+        per_s: Requests per second from all nodes; None for no limit.
+        as_of_ms: When the limit was last known to hold. In messages to peers it
+            is replaced by its age.
+        origin: The node that received the limit from the runner.
         origin_ms: When that was, by that node's clock.
     """
 
@@ -54,91 +54,92 @@
 
     @property
     def interval_ms(self) -> float:
-        """How long after a request the runner takes the next one."""
-        return units.MS_PER_S / max(LEAST_PER_S, self.per_s or 0.0)
+        """Time between two requests at the permitted rate."""
+        return units.MS_PER_S / max(MIN_PER_S, self.per_s or 0.0)
 
     def is_stale(self, now_ms: float) -> bool:
-        """Whether nobody has confirmed it for long."""
+        """Whether its last confirmation is too old."""
         return now_ms - self.as_of_ms > STALE_MS
 
     def turn(self, now_ms: float) -> int:
-        """Returns how many requests it has allowed since it was confirmed."""
+        """Returns how many requests it has permitted since its confirmation."""
         return int((now_ms - self.as_of_ms) // self.interval_ms)
 
-    def is_news_after(self, before: "RateLimit | None") -> bool:
-        """Whether it says more than what is known."""
+    def supersedes(self, before: "RateLimit | None") -> bool:
+        """Whether it is newer than the known limit, if any."""
         if before is None:
             return True
         if self.origin == before.origin and self.origin_ms <= before.origin_ms:
-            # The same word by another way is as old as it was.
+            # The same report, relayed by another node, is not newer.
             return False
         return self.as_of_ms > before.as_of_ms
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
-    """What this node may send to a limited runner.
+    """Token bucket for the requests of this node to a limited runner.
 
     Attributes:
-        tokens: Requests that it may send now.
-        share_per_s: How many are added a second.
-        at_ms: When it was filled last.
-        shared_ms: When the share was worked out last.
-        turn: The last turn that this node used of a limit that is stale.
+        tokens: Requests that may be sent now.
+        share_per_s: Tokens added per second.
+        at_ms: When tokens were last added.
+        share_set_ms: When the share was last computed.
+        turn: The last turn that this node used while the limit was stale.
     """
 
     at_ms: float
     tokens: float = 0.0
     share_per_s: float = 0.0
-    shared_ms: float = float("-inf")
+    share_set_ms: float = float("-inf")
     turn: int = _NO_TURN
 
-    def fill(self, now_ms: float) -> None:
-        """Adds the tokens of the time since it was filled last."""
-        most = max(1.0, BURST_S * self.share_per_s)
+    def refill(self, now_ms: float) -> None:
+        """Adds the tokens for the time since the last refill."""
+        max_tokens = max(1.0, BURST_S * self.share_per_s)
         added = (now_ms - self.at_ms) / units.MS_PER_S * self.share_per_s
-        self.tokens = min(most, self.tokens + added)
+        self.tokens = min(max_tokens, self.tokens + added)
         self.at_ms = now_ms
 
-    def give(self, share_per_s: float, now_ms: float) -> None:
+    def set_share(self, share_per_s: float, now_ms: float) -> None:
         """Sets the share; a node without one keeps no tokens."""
         if not share_per_s:
             self.tokens = min(0.0, self.tokens)
         self.share_per_s = share_per_s
-        self.shared_ms = now_ms
+        self.share_set_ms = now_ms
 
 
 class RateLimits:
-    """Limits of runners by id, and this node's part of each."""
+    """The limits of runners, and this node's share of each."""
 
-    def __init__(self, node: str, live_nodes: Callable[[float], Nodes]) -> None:
-        """Makes it.
+    def __init__(self, node: str,
+                 live_nodes: Callable[[float], NodesByDataCentre]) -> None:
+        """Initializes the record without any limits.
 
         Args:
             node: This node's name.
-            live_nodes: Returns the living nodes of each data centre, this one
-                among them, at a time.
+            live_nodes: Returns the live nodes of each data centre at a given
+                time, including this one.
         """
         self._node = node
-        self._living = live_nodes
+        self._live_nodes = live_nodes
         self._limits: dict[str, RateLimit] = {}
         self._buckets: dict[str, _Bucket] = {}
 
     def per_s(self, runner: str) -> float | None:
-        """Returns the limit of a runner, None for none."""
+        """Returns the limit of a runner, or None."""
         limit = self._limits.get(runner)
         return limit.per_s if limit is not None else None
 
-    def take_answer(self, runner: str, per_s: float | None, sent_ms: float,
-                    now_ms: float) -> bool:
-        """Takes what an answer says of its runner's limit.
+    def receive_answer(self, runner: str, per_s: float | None, sent_ms: float,
+                       now_ms: float) -> bool:
+        """Updates a runner's limit from an answer.
 
-        Answers overtake each other, so one without a limit lifts it only if its
-        request was sent after the limit was last named.
+        Answers can arrive out of order, so an answer without a limit lifts it
+        only if its request was sent after the limit was last set.
 
         Args:
-            runner: Who answered.
-            per_s: The limit that it named, None for none.
+            runner: The ID of the runner that answered.
+            per_s: The limit in the answer, or None.
             sent_ms: When the request was sent.
             now_ms: When the answer began to arrive.
 
@@ -148,31 +149,31 @@
         if per_s is None and self.per_s(runner) is None:
             return False
         as_of_ms = sent_ms if per_s is None else now_ms
-        return self._take(
+        return self._update(
             RateLimit(runner, per_s, as_of_ms, self._node, as_of_ms), now_ms)
 
     def receive(self, told: Iterable[RateLimit], sent_ms: float,
                 now_ms: float) -> list[RateLimit]:
-        """Takes what a peer tells.
+        """Processes limits reported by a peer.
 
         Args:
-            told: Limits, with times by the peer's clock.
-            sent_ms: When it told them, by that clock.
-            now_ms: The time here.
+            told: The limits, with times by the peer's clock.
+            sent_ms: When they were sent, by the peer's clock.
+            now_ms: The time by this node's clock.
 
         Returns:
-            Those that have changed.
+            The limits that have changed.
         """
         heard = [
             dataclasses.replace(each,
                                 as_of_ms=now_ms - (sent_ms - each.as_of_ms))
             for each in told
         ]
-        return [each for each in heard if self._take(each, now_ms)]
+        return [each for each in heard if self._update(each, now_ms)]
 
-    def _take(self, limit: RateLimit, now_ms: float) -> bool:
+    def _update(self, limit: RateLimit, now_ms: float) -> bool:
         before = self._limits.get(limit.runner)
-        if not limit.is_news_after(before):
+        if not limit.supersedes(before):
             return False
         self._limits[limit.runner] = limit
         if limit.per_s is None:
@@ -183,34 +184,35 @@
         return (before.per_s if before else None) != limit.per_s
 
     def updates_for_peers(self, now_ms: float) -> tuple[RateLimit, ...]:
-        """Returns what other nodes should hear.
+        """Returns the limits to report to peers.
 
-        What this node was told by the runner itself comes first, then the
-        newest: passed on alike, the limits of a few busy runners would leave no
-        room for those that only this node has heard.
+        Limits that this node received from the runner itself come first, then
+        the newest. Otherwise the limits of a few busy runners would leave no
+        room for those that only this node knows.
         """
         told = [
             each for each in self._limits.values()
-            if not each.is_stale(now_ms) and
-            (each.per_s is not None or now_ms - each.as_of_ms < LIFTED_TOLD_MS)
+            if not each.is_stale(now_ms) and (each.per_s is not None or now_ms -
+                                              each.as_of_ms < LIFTED_REPORT_MS)
         ]
         return tuple(
-            heapq.nlargest(MAX_TOLD,
+            heapq.nlargest(MAX_REPORTED,
                            told,
                            key=lambda each:
                            (each.origin == self._node, each.as_of_ms)))
 
     def wait_ms(self, runner: str, data_centre: str, now_ms: float) -> float:
-        """Returns when a runner takes a request of this node, 0 for now.
+        """Returns the time until this node may send a request to a runner.
 
         Args:
-            runner: Its id.
-            data_centre: Where it stands; nodes there are its first choice.
+            runner: The runner's ID.
+            data_centre: The runner's data centre; its nodes are preferred as
+                senders.
             now_ms: The time.
 
         Returns:
-            Where this node has no part of the limit, when it takes the next
-            request of any node.
+            The time in ms, 0 for now. For a node without a share of the limit,
+            the time between two requests of any nodes.
         """
         limit = self._limits.get(runner)
         if limit is None or limit.per_s is None:
@@ -219,9 +221,10 @@
         if limit.is_stale(now_ms):
             has_turn = self._has_turn(limit, bucket, now_ms)
             return 0.0 if has_turn else limit.interval_ms
-        bucket.fill(now_ms)
-        if now_ms - bucket.shared_ms > SHARE_MS:
-            bucket.give(self._share_per_s(limit, data_centre, now_ms), now_ms)
+        bucket.refill(now_ms)
+        if now_ms - bucket.share_set_ms > SHARE_LIFETIME_MS:
+            bucket.set_share(self._share_per_s(limit, data_centre, now_ms),
+                             now_ms)
         if bucket.tokens >= 1:
             return 0.0
         if not bucket.share_per_s:
@@ -230,44 +233,45 @@
 
     def _has_turn(self, limit: RateLimit, bucket: _Bucket,
                   now_ms: float) -> bool:
-        """Whether this node may try a limit that nobody confirms.
+        """Whether it is this node's turn to send despite a stale limit.
 
-        Nodes that saved up a part each would all try it at once.
+        Turns are used instead of tokens, since all nodes with saved tokens
+        would send at once.
         """
         turn = limit.turn(now_ms)
-        order = sorted(_all(self._living(now_ms)))
+        order = sorted(_all_names(self._live_nodes(now_ms)))
         return turn > bucket.turn and order[turn % len(order)] == self._node
 
     def _share_per_s(self, limit: RateLimit, data_centre: str,
                      now_ms: float) -> float:
-        live_nodes = self._living(now_ms)
-        nodes = list(live_nodes.get(data_centre, ())) or _all(live_nodes)
+        live_nodes = self._live_nodes(now_ms)
+        nodes = list(live_nodes.get(data_centre, ())) or _all_names(live_nodes)
         per_s = units.MS_PER_S / limit.interval_ms
         senders = _senders(limit.runner, nodes, int(per_s))
         return per_s / len(senders) if self._node in senders else 0.0
 
     def sent(self, runner: str, now_ms: float) -> None:
-        """Notes a request that is sent to a runner."""
+        """Records a request that is sent to a runner."""
         bucket = self._buckets.get(runner)
         if bucket is None:
             return
         bucket.turn = self._limits[runner].turn(now_ms)
-        bucket.fill(now_ms)
+        bucket.refill(now_ms)
         bucket.tokens -= 1
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets what is old."""
+        """Drops limits that are too old."""
         clock.drop_expired(self._limits, lambda limit: limit.as_of_ms,
-                           FORGOTTEN_MS, now_ms)
+                           EXPIRY_MS, now_ms)
         for runner in self._buckets.keys() - self._limits.keys():
             del self._buckets[runner]
 
 
-def _all(live_nodes: Nodes) -> list[str]:
+def _all_names(live_nodes: NodesByDataCentre) -> list[str]:
     return [name for names in live_nodes.values() for name in names]
 
 
 def _senders(runner: str, nodes: list[str], count: int) -> list[str]:
-    """Returns the nodes that send to a runner; all nodes find the same."""
+    """Returns the nodes that send to a runner, the same on every node."""
     return heapq.nlargest(max(1, count), nodes,
                           lambda node: zlib.crc32(f"{runner} {node}".encode()))
--- a/cardamommill/gateway/reliability.py
+++ b/cardamommill/gateway/reliability.py
@@ -1,14 +1,14 @@
-"""How likely each runner fails what it is sent, by tries of all nodes.
+"""Failure probability of each runner, from the attempts of all nodes.
 
-A runner that fails at once has nothing in flight and looks the quickest, and
-each node tries it too seldom to learn that in time: nodes tell each other of
-failures, and of what went well where something has failed. What only one
-request says counts as little as one failure, since requests that fail by their
-own doing come again and fail everywhere.
+A runner that fails every request at once has nothing in flight and so looks
+like the fastest one. A single node makes too few attempts there to learn this
+in time, so nodes report failures to each other, and also successes at runners
+with failures. However often one request fails, it counts as one failure, since
+requests that cause their own failure are repeated and fail at every runner.
 
-What counts is the time since the oldest of the last few failures: set against
-all that had gone well before, five failures in a row weighed less than the
-twenty tries of the seconds before them.
+Successes only count since the oldest of the last few failures. With earlier
+ones included, five failures in a row weighed less than the twenty successful
+attempts of the seconds before.
 """
 
 import collections
@@ -19,106 +19,113 @@
 
 from cardamommill.gateway import clock
 
-# A try weighs half after this long, so that whoever failed is tried again.
+# The weight of a failure halves in this time, so that the runner gets attempts
+# again.
 HALF_LIFE_MS = 3000.0
-FORGOTTEN_MS = 5 * HALF_LIFE_MS
-# Each node remembers the failures of a runner for a time of its own: with the
-# same memory all nodes tried it again at the same moment, and as many requests
-# failed there as came until the first failure was told.
-LEAST_MEMORY = 0.6
-MOST_MEMORY = 1.8
-# Of a runner of which nothing is known next to nothing is feared, and one
-# request that fails there does not make it likely to fail the next.
-PRIOR_FAILED = 0.02
-PRIOR_WELL = 1.5
-# Beyond this a runner is used only where no other takes a request.
+EXPIRY_MS = 5 * HALF_LIFE_MS
+# Each node scales the half-life for a runner by a random factor in this range.
+# With equal half-lives, all nodes sent requests to the runner again at the same
+# moment, and each request failed until the first failure had been reported.
+MIN_HALF_LIFE_FACTOR = 0.6
+MAX_HALF_LIFE_FACTOR = 1.8
+# Prior counts: a runner without a record has almost no failure probability, and
+# one failed request does not make the next failure likely.
+PRIOR_FAILURES = 0.02
+PRIOR_SUCCESSES = 1.5
+# Above this failure probability, a runner is used only if no other one takes
+# the request.
 DOUBT_THRESHOLD = 0.5
-# A doubted runner gets nothing for this long after it failed, while any other
-# stands: by then nodes nearby have told of it.
-REST_MS = 500.0
-# The last few failures that count, and of each node the last tries that went
-# well: enough to tell one in ten.
+# A doubted runner gets no requests for this long after a failure if any other
+# runner is available. By then, nodes of the same data centre have reported it.
+COOLDOWN_MS = 500.0
+# How many of a runner's last failures count, and how many of each node's last
+# successes: enough to recognize a failure rate of one in ten.
 MAX_FAILURES = 5
-MAX_WELL = 30
-# Nodes tell of the newest, and only of what is young: with all of it passed on
-# for as long as it is remembered, delays on the way would keep it for ever.
-TOLD_MS = 3000.0
-MAX_TOLD_FAILURES = 2
-MAX_TOLD_RUNNERS = 12
+MAX_SUCCESSES = 30
+# Nodes report only recent failures, the newest first. If they relayed all that
+# they remember, delays on the way would keep failures alive for ever.
+MAX_REPORTED_AGE_MS = 3000.0
+MAX_REPORTED_FAILURES = 2
+MAX_REPORTED_RUNNERS = 12
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptHistory:
-    """What a node tells of tries at one runner.
+    """A node's report of the attempts at one runner.
 
     Attributes:
-        runner: Its id.
-        well: How many of the node's own tries went well since the failures.
-        failures: Requests that it failed, of all nodes, with how long ago in
-            ms.
+        runner: The runner's ID.
+        successes: Successful attempts of this node since the oldest failure.
+        failures: Failed requests of all nodes, each with its age in ms.
     """
 
     runner: str
-    well: int
+    successes: int
     failures: tuple[tuple[int, float], ...]
 
 
 class Reliability:
-    """Tries at runners; failures of all nodes, each counted once."""
+    """Tracks attempts at runners; counts each failure of all nodes once."""
 
-    def __init__(self, chance: random.Random) -> None:
-        """Makes it.
+    def __init__(self, rng: random.Random) -> None:
+        """Initializes the record without any attempts.
 
         Args:
-            chance: Differs between nodes.
+            rng: Random numbers that differ between nodes.
         """
-        self._chance = chance
-        # When tries of this node went well, by runner.
-        self._well_ms: dict[str, collections.deque[float]] = {}
-        # When a try of this node failed last, by runner.
+        self._rng = rng
+        # Times of this node's successful attempts, by runner.
+        self._succeeded_ms: dict[str, collections.deque[float]] = {}
+        # Time of this node's last failed attempt, by runner.
         self._own_failed_ms: dict[str, float] = {}
-        # When each request failed, by runner; of all nodes.
+        # Time of each failure of all nodes, by runner and request.
         self._failures: dict[str, dict[int, float]] = {}
-        # Factor on how long failures are remembered here, by runner.
-        self._memory: dict[str, float] = {}
+        # This node's factor on the half-life, by runner.
+        self._half_life_factor: dict[str, float] = {}
         self._doubted: set[str] = set()
-        # What peers last told of tries that went well, by runner and peer.
-        self._peers_well: dict[str, dict[str, int]] = {}
+        # Successes that peers last reported, by runner and peer.
+        self._peer_successes: dict[str, dict[str, int]] = {}
 
     def succeeded(self, runner: str, now_ms: float) -> None:
-        """Notes a try that brought an event or a sound answer."""
-        self._well_ms.setdefault(
-            runner, collections.deque(maxlen=MAX_WELL)).append(now_ms)
+        """Records an attempt that brought an event or a valid answer."""
+        self._succeeded_ms.setdefault(
+            runner, collections.deque(maxlen=MAX_SUCCESSES)).append(now_ms)
 
     def failed(self, runner: str, request: int, now_ms: float) -> None:
-        """Notes a try that the runner failed by its own doing.
+        """Records an attempt that failed through the runner's fault.
 
         Args:
-            runner: Its id.
-            request: The same for the same request, whoever tries it again.
+            runner: The runner's ID.
+            request: Identifies the request across retries and nodes.
             now_ms: The time.
         """
         self._own_failed_ms[runner] = now_ms
-        self._note(runner, request, now_ms)
+        self._record_failure(runner, request, now_ms)
 
     def fail_odds(self, runner: str, now_ms: float) -> float:
-        """Returns how likely the runner fails the next try, from 0 to 1."""
+        """Returns the probability, 0 to 1, that the next attempt fails."""
         failures = self._failures.get(runner)
         if not failures:
             return 0.0
-        memory = self._memory[runner]
-        failed = PRIOR_FAILED + sum(
-            _part((now_ms - at_ms) / memory) for at_ms in failures.values())
-        well = PRIOR_WELL + self._own_well(runner) + sum(
-            self._peers_well.get(runner, {}).values())
-        return failed / (failed + well)
-
-    def _own_well(self, runner: str) -> int:
+        half_life_factor = self._half_life_factor[runner]
+        failed = PRIOR_FAILURES + sum(
+            _weight((now_ms - at_ms) / half_life_factor)
+            for at_ms in failures.values())
+        successes = PRIOR_SUCCESSES + self._own_successes(runner) + sum(
+            self._peer_successes.get(runner, {}).values())
+        return failed / (failed + successes)
+
+    def _own_successes(self, runner: str) -> int:
         since_ms = min(self._failures[runner].values())
-        return sum(at_ms >= since_ms for at_ms in self._well_ms.get(runner, ()))
+        return sum(
+            at_ms >= since_ms for at_ms in self._succeeded_ms.get(runner, ()))
 
     def doubt_changes(self, now_ms: float) -> list[tuple[str, float]]:
-        """Returns runners newly doubted, or no longer, with the odds."""
+        """Returns runners that became doubted or trusted again.
+
+        Returns:
+            Each runner's ID with its failure probability.
+        """
         found = []
         for runner in sorted(self._doubted | self._failures.keys()):
             odds = self.fail_odds(runner, now_ms)
@@ -128,79 +135,79 @@
         return found
 
     def is_cooling_down(self, runner: str, now_ms: float) -> bool:
-        """Whether a runner failed a moment ago."""
+        """Whether a runner's last failure is within the cool-down."""
         failures = self._failures.get(runner)
         if not failures:
             return False
-        return now_ms - max(failures.values()) < REST_MS
+        return now_ms - max(failures.values()) < COOLDOWN_MS
 
     def updates_for_peers(self, now_ms: float) -> tuple[AttemptHistory, ...]:
-        """Returns what other nodes should hear, the newest first."""
+        """Returns the failures to report to peers, the newest first."""
         if self._may_be_cut_off(now_ms):
             return ()
         told = []
         for runner, failures in self._failures.items():
-            young = sorted((now_ms - at_ms, request)
-                           for request, at_ms in failures.items()
-                           if now_ms - at_ms < TOLD_MS)
-            if young:
+            recent = sorted((now_ms - at_ms, request)
+                            for request, at_ms in failures.items()
+                            if now_ms - at_ms < MAX_REPORTED_AGE_MS)
+            if recent:
                 told.append(
                     AttemptHistory(
-                        runner, self._own_well(runner),
-                        tuple(
-                            (request, age_ms)
-                            for age_ms, request in young[:MAX_TOLD_FAILURES])))
+                        runner, self._own_successes(runner),
+                        tuple((request, age_ms) for age_ms, request in
+                              recent[:MAX_REPORTED_FAILURES])))
         told.sort(key=lambda each: each.failures[0][1])
-        return tuple(told[:MAX_TOLD_RUNNERS])
+        return tuple(told[:MAX_REPORTED_RUNNERS])
 
     def _may_be_cut_off(self, now_ms: float) -> bool:
-        """Whether some runners failed this node and fewer served it of late.
+        """Whether several runners failed this node lately and fewer served it.
 
-        Then its own way to them may be harmed: told of all of them, its
-        failures made all nodes leave heads that served everybody else.
+        If so, its own network may be at fault. When such a node reported its
+        failures, all nodes avoided heads that served everybody else.
         """
-        failed = sum(
-            now_ms - at_ms < TOLD_MS for at_ms in self._own_failed_ms.values())
-        served = sum(
-            now_ms - times[-1] < TOLD_MS for times in self._well_ms.values())
+        failed = sum(now_ms - at_ms < MAX_REPORTED_AGE_MS
+                     for at_ms in self._own_failed_ms.values())
+        served = sum(now_ms - times[-1] < MAX_REPORTED_AGE_MS
+                     for times in self._succeeded_ms.values())
         return failed > max(1, served)
 
     def receive(self, told: Iterable[AttemptHistory], peer: str,
                 now_ms: float) -> None:
-        """Takes what a peer tells.
+        """Processes the reports of a peer.
 
-        Failures are the same whoever tells of them: what came back, or comes
-        by two ways, counts once. Of what went well a peer's last word counts.
+        A failure counts once, also if several peers report it or if it comes
+        back to this node. Of each peer's successes, the last report counts.
         """
         for each in told:
             for request, age_ms in each.failures:
-                self._note(each.runner, request, now_ms - age_ms)
-            self._peers_well.setdefault(each.runner, {})[peer] = each.well
+                self._record_failure(each.runner, request, now_ms - age_ms)
+            self._peer_successes.setdefault(each.runner,
+                                            {})[peer] = each.successes
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets what weighs next to nothing."""
+        """Drops records whose weight has become negligible."""
         for runner, failures in list(self._failures.items()):
-            clock.drop_expired(failures, float, FORGOTTEN_MS, now_ms)
+            clock.drop_expired(failures, float, EXPIRY_MS, now_ms)
             if not failures:
-                del self._failures[runner], self._memory[runner]
-                self._peers_well.pop(runner, None)
-        clock.drop_expired(self._own_failed_ms, float, FORGOTTEN_MS, now_ms)
-        clock.drop_expired(self._well_ms, lambda times: times[-1], FORGOTTEN_MS,
-                           now_ms)
+                del self._failures[runner], self._half_life_factor[runner]
+                self._peer_successes.pop(runner, None)
+        clock.drop_expired(self._own_failed_ms, float, EXPIRY_MS, now_ms)
+        clock.drop_expired(self._succeeded_ms, lambda times: times[-1],
+                           EXPIRY_MS, now_ms)
 
-    def _note(self, runner: str, request: int, at_ms: float) -> None:
+    def _record_failure(self, runner: str, request: int, at_ms: float) -> None:
         if runner not in self._failures:
             self._failures[runner] = {}
-            self._memory[runner] = self._chance.uniform(LEAST_MEMORY,
-                                                        MOST_MEMORY)
+            self._half_life_factor[runner] = self._rng.uniform(
+                MIN_HALF_LIFE_FACTOR, MAX_HALF_LIFE_FACTOR)
         failures = self._failures[runner]
-        # A request that comes again says no more than it said before, but a
-        # node that hears of it late must not take it for younger.
+        # Keep the time of the first report: a repeated failure of a request
+        # adds no information, and a delayed report must not look newer.
         failures.setdefault(request, at_ms)
         if len(failures) > MAX_FAILURES:
             del failures[min(failures, key=failures.__getitem__)]
 
 
-def _part(age_ms: float) -> float:
-    """Returns what is left of a weight after a time."""
+def _weight(age_ms: float) -> float:
+    """Returns the weight of a failure of an age."""
     return math.exp2(-max(0.0, age_ms) / HALF_LIFE_MS)
--- a/tests/gateway/test_backpressure.py
+++ b/tests/gateway/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Tests of how nodes heed what runners ask of their callers."""
+"""Tests of the backpressure that runners signal in answers."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 
 
 class Node:
-    """One node that hears answers of a runner at times of its own."""
+    """A node that receives answers of a runner at times set by the test."""
 
     def __init__(self):
         self.now_ms = 1000.0
         self.view = builders.view(RUNNER)
-        self.asked = backpressure.Backpressure(
+        self.backpressure = backpressure.Backpressure(
             self.view, ratelimits.RateLimits("n", lambda _: {"a": ["n"]}),
             metrics.Metrics())
 
@@ -24,13 +24,14 @@
             (name.replace("_", "-"), value) for name, value in headers.items()
         ])
         with clock.override(lambda: self.now_ms):
-            self.asked.receive_head("a1", RUNNER.id, head, self.now_ms - 1)
+            self.backpressure.receive_head("a1", RUNNER.id, head,
+                                           self.now_ms - 1)
 
     def wait_ms(self):
-        return self.asked.wait_ms(RUNNER, self.now_ms)
+        return self.backpressure.wait_ms(RUNNER, self.now_ms)
 
 
-def test_runner_is_left_alone_for_as_long_as_it_asks():
+def test_runner_gets_no_requests_during_its_rest():
     node = Node()
     node.answer(503, Retry_After="3")
     assert node.wait_ms() == 3000
@@ -41,7 +42,7 @@
 
 
 def test_shorter_rest_does_not_end_a_longer_one():
-    """Refusals overtake each other, and each holds until its own end."""
+    """Refusals can arrive out of order, and each rest lasts until its end."""
     node = Node()
     node.answer(503, Retry_After="3")
     node.answer(503, Retry_After="0.5")
@@ -50,14 +51,14 @@
 
 
 @pytest.mark.parametrize("status", [200, 421, 500])
-def test_answer_that_refuses_nothing_asks_for_no_rest(status):
+def test_retry_after_is_ignored_unless_refused(status):
     node = Node()
     node.answer(status, Retry_After="3")
     assert not node.wait_ms()
 
 
-def test_answer_of_another_runner_says_nothing_of_this_one():
-    """Addresses of runners that are gone are given out again."""
+def test_misdirected_request_changes_no_limit():
+    """Addresses of runners that are gone are reassigned."""
     node = Node()
     node.answer(421, Server_Limit="0.5")
     assert not node.wait_ms()
@@ -67,7 +68,7 @@
     assert node.wait_ms()
 
 
-def test_runner_that_says_that_it_leaves_is_not_used():
+def test_leaving_runner_is_not_used():
     node = Node()
     node.answer(200, Server_Leaving="0")
     assert node.view.known[RUNNER.id].is_usable
@@ -75,8 +76,8 @@
     assert not node.view.known[RUNNER.id].is_usable
 
 
-def test_list_does_not_take_back_that_a_runner_leaves():
-    """A runner that is cut off from the store is listed as ready to the end."""
+def test_list_does_not_revert_leaving():
+    """A runner that can't reach the store stays listed as ready to the end."""
     node = Node()
     node.answer(200, Server_Leaving="1")
     node.view.apply_list([builders.runner(1, row_version=9)],
@@ -85,16 +86,16 @@
     assert known.is_leaving and known.leaving_ms == node.now_ms
 
 
-def test_other_life_of_a_runner_is_used():
-    """Runners start again at the address, under another id."""
+def test_restarted_runner_is_used():
+    """A restarted runner has the same address but another ID."""
     node = Node()
     node.answer(200, Server_Leaving="1")
     node.view.apply_list([builders.runner(2)], node.view.list_as_of_ms + 500)
     assert node.view.known["i-2"].is_usable
 
 
-def test_header_that_cannot_be_read_changes_nothing():
-    """One spoiled header must not take what the other one says with it."""
+def test_malformed_header_is_ignored():
+    """One malformed header must not prevent the use of the other one."""
     node = Node()
     node.answer(503, Server_Limit="many", Retry_After="2")
     assert node.wait_ms() == 2000
@@ -105,9 +106,9 @@
     assert node.wait_ms()
 
 
-def test_rests_that_are_over_are_forgotten():
+def test_expired_rests_are_dropped():
     node = Node()
     node.answer(503, Retry_After="2")
     node.now_ms += 2001
-    node.asked.drop_expired(node.now_ms)
-    assert not node.asked._rests_until_ms
+    node.backpressure.drop_expired(node.now_ms)
+    assert not node.backpressure._rest_until_ms
--- a/tests/gateway/test_peermessage.py
+++ b/tests/gateway/test_peermessage.py
@@ -1,4 +1,4 @@
-"""Tests of datagrams between nodes."""
+"""Tests of the encoding of datagrams between nodes."""
 
 import dataclasses
 import struct
@@ -33,7 +33,7 @@
 
 @hypothesis.given(strategies.dictionaries(KEYS, LOADS, max_size=5),
                   strategies.booleans())
-def test_message_comes_through(in_flight, stopping):
+def test_decoding_reverses_encoding(in_flight, stopping):
     key = model.GroupKey("g", 3)
     sent = test_peers.message(
         "n",
@@ -54,14 +54,14 @@
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_bytes_that_are_no_message_are_refused(data):
+def test_arbitrary_bytes_are_refused(data):
     with pytest.raises(exceptions.BadPeerMessage):
         peermessage.decode(data, "10.0.0.9")
 
 
 @pytest.mark.parametrize("form,left_out", [(3, 3), (4, 1)])
-def test_node_of_a_former_version_is_understood(form, left_out):
-    """A roll-out replaces nodes one by one; new ones know those that live."""
+def test_older_formats_are_decoded(form, left_out):
+    """During a rollout, nodes of both versions exchange messages."""
     key = model.GroupKey("g", 3)
     sent = test_peers.message("n",
                               "a",
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("load_sums",
                          [[1.0], [1.0, [[3, 1]]], [1.0, [["x", 1, 0, 0]]],
                           ["x", []], 7, [1.0, [[3, 1, 0, 0, 9]]]])
-def test_sums_that_are_cut_or_no_sums_are_refused_whole(load_sums):
+def test_message_with_malformed_load_sums_is_refused(load_sums):
     fields = msgpack.unpackb(encoded(test_peers.message("n", "a"))[17:])
     fields[-3] = load_sums
     with pytest.raises(exceptions.BadPeerMessage):
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("limit",
                          [LIMIT, dataclasses.replace(LIMIT, per_s=None)])
-def test_rate_limits_are_told_with_their_age(limit):
+def test_rate_limits_are_encoded_with_their_age(limit):
     sent = test_peers.message("n", "a", sent_ms=900.0, limits=(limit,))
     assert peermessage.decode(encoded(sent), "peer").limits == (limit,)
 
@@ -98,7 +98,7 @@
     7, [["i-1", 1.0, 5]], [["i-1", -1.0, 5, "n", 1.0]],
     [["i-1", float("nan"), 5, "n", 1.0]], [["i-1", "x", 5, "n", 1.0]]
 ])
-def test_limits_that_are_cut_or_no_limits_are_refused_whole(limits):
+def test_message_with_malformed_limits_is_refused(limits):
     fields = msgpack.unpackb(encoded(test_peers.message("n", "a"))[17:])
     fields[-1] = limits
     with pytest.raises(exceptions.BadPeerMessage):
@@ -107,15 +107,15 @@
             "peer")
 
 
-def test_message_fits_a_datagram_however_many_groups_there_are():
+def test_message_with_many_groups_fits_a_datagram():
     many = {
         model.GroupKey(f"group-{number}", number): inflight.GroupLoad(1)
         for number in range(500)
     }
     failing = tuple(
         reliability.AttemptHistory(f"i-{number:010x}", 30, (
-            (2**32 - 1, 2900.0),) * reliability.MAX_TOLD_FAILURES)
-        for number in range(reliability.MAX_TOLD_RUNNERS))
+            (2**32 - 1, 2900.0),) * reliability.MAX_REPORTED_FAILURES)
+        for number in range(reliability.MAX_REPORTED_RUNNERS))
     load_sums = loadsums.LoadSums(40.0, {
         key.short_id: load for key, load in many.items()
     })
@@ -123,8 +123,8 @@
                               "a",
                               in_flight=many,
                               attempt_histories=failing,
-                              limits=(LIMIT,) * ratelimits.MAX_TOLD,
+                              limits=(LIMIT,) * ratelimits.MAX_REPORTED,
                               load_sums=load_sums)
     data = encoded(sent)
-    assert len(data) <= peermessage.MAX_BYTES
+    assert len(data) <= peermessage.MAX_DATAGRAM_BYTES
     assert peermessage.decode(data, "peer").in_flight
--- a/tests/gateway/test_reliability.py
+++ b/tests/gateway/test_reliability.py
@@ -1,4 +1,4 @@
-"""Tests of how likely runners fail what they are sent."""
+"""Tests of the failure probabilities of runners."""
 
 import random
 
@@ -15,13 +15,13 @@
     return reliability.Reliability(random.Random(seed))
 
 
-def tell(sender, *hearers, now_ms, name="n"):
-    """Has a node tell others what it knows, as datagrams do."""
+def send_updates(sender, *hearers, now_ms, name="n"):
+    """Delivers the reports of a node to others, as datagrams do."""
     for each in hearers:
         each.receive(sender.updates_for_peers(now_ms), name, now_ms)
 
 
-def test_nothing_is_feared_of_a_runner_that_has_not_failed():
+def test_runner_without_failures_has_zero_failure_probability():
     one = node()
     assert one.fail_odds(HEAD, 0) == 0.0
     one.succeeded(HEAD, 0)
@@ -29,7 +29,7 @@
     assert not one.updates_for_peers(1)
 
 
-def test_two_requests_that_failed_in_a_row_make_a_runner_doubted():
+def test_two_consecutive_failures_make_a_runner_doubted():
     one = node()
     one.failed(HEAD, 1, 1000)
     assert 0.0 < one.fail_odds(HEAD, 1000) < DOUBT_THRESHOLD
@@ -37,11 +37,11 @@
     assert one.fail_odds(HEAD, 1010) > DOUBT_THRESHOLD
 
 
-def test_long_good_past_does_not_hide_that_a_runner_fails_now():
-    """A head has served each node for long, and begins to fail all it gets.
+def test_earlier_successes_do_not_hide_new_failures():
+    """A head that has served each node for long begins to fail all requests.
 
-    Set against all that had gone well in the seconds before, five failures
-    weighed less than a half, and the head went on drawing requests.
+    Compared with all successes of the seconds before, five failures gave a
+    probability below one half, and the head went on attracting requests.
     """
     one = node()
     for number in range(100):
@@ -51,21 +51,24 @@
     assert one.fail_odds(HEAD, 1020) > DOUBT_THRESHOLD
 
 
-def test_one_request_alone_never_makes_a_runner_doubted():
-    """A request fails by its own doing; its caller sends it again and again.
+def test_repeated_failures_of_one_request_do_not_make_a_runner_doubted():
+    """A request causes its own failure, and its caller keeps repeating it.
 
-    It comes to all nodes and all heads. If each counted it anew, sound heads
-    would be avoided by the whole fleet for one bad request.
+    It reaches all nodes and all heads. If each failure counted, the whole fleet
+    would avoid healthy heads because of one bad request.
     """
     nodes = [node(seed) for seed in range(4)]
     for again in range(12):
         nodes[again % 4].failed(HEAD, 7, 1000.0 + 100 * again)
         for number, each in enumerate(nodes):
-            tell(each, *nodes, now_ms=1000.0 + 100 * again, name=str(number))
+            send_updates(each,
+                         *nodes,
+                         now_ms=1000.0 + 100 * again,
+                         name=str(number))
             assert each.fail_odds(HEAD, 1000.0 + 100 * again) < DOUBT_THRESHOLD
 
 
-def test_runner_that_fails_one_in_eight_is_not_doubted():
+def test_failure_rate_of_one_in_eight_is_not_doubted():
     one = node()
     for number in range(400):
         if number % 8:
@@ -76,70 +79,71 @@
             assert one.fail_odds(HEAD, 20.0 * number) < 0.3
 
 
-def test_failures_of_others_count_and_each_once():
-    """Two nodes fail once each at a head, and tell each other and a third.
+def test_failures_of_all_nodes_count_once():
+    """Two nodes see one failure each, and report it to each other and a third.
 
-    Each of them tells on what it heard, so that each failure comes back by
-    several ways; none of that is a failure more.
+    Each node relays what it received, so each failure arrives several times,
+    but none of these reports is another failure.
     """
     first, second, third = node(1), node(2), node(3)
     first.failed(HEAD, 1, 1000)
     second.failed(HEAD, 2, 1010)
     for _ in range(5):
-        tell(first, second, third, now_ms=1020, name="first")
-        tell(second, first, third, now_ms=1020, name="second")
-        tell(third, first, second, now_ms=1020, name="third")
+        send_updates(first, second, third, now_ms=1020, name="first")
+        send_updates(second, first, third, now_ms=1020, name="second")
+        send_updates(third, first, second, now_ms=1020, name="third")
     counted = node()
     counted.failed(HEAD, 1, 1000)
     counted.failed(HEAD, 2, 1010)
     for each in (first, second, third):
-        # Nodes differ in how long they remember, by little after 20 ms.
+        # Nodes differ in their half-lives, which matters little after 20 ms.
         assert abs(each.fail_odds(HEAD, 1020) -
                    counted.fail_odds(HEAD, 1020)) < 0.01
         assert each.fail_odds(HEAD, 1020) > DOUBT_THRESHOLD
 
 
-def test_what_went_well_elsewhere_speaks_for_a_runner():
-    """One node has failed twice where all others are served."""
+def test_successes_of_peers_lower_the_failure_probability():
+    """One node sees two failures at a head that serves all other nodes."""
     one, other = node(1), node(2)
     one.failed(HEAD, 1, 1000)
     one.failed(HEAD, 2, 1010)
-    tell(one, other, now_ms=1020)
+    send_updates(one, other, now_ms=1020)
     for number in range(8):
         other.succeeded(HEAD, 1020.0 + number)
     for _ in range(3):
-        tell(other, one, now_ms=1030, name="other")
+        send_updates(other, one, now_ms=1030, name="other")
     assert 0.1 < one.fail_odds(HEAD, 1030) < 0.25
 
 
-def test_node_whose_own_way_is_harmed_tells_nothing():
-    """A node's link resets all its connections, so that each head fails it.
+def test_node_with_a_broken_link_reports_nothing():
+    """A node's link resets all its connections, so all heads seem to fail.
 
-    Told of by that node, all heads would be doubted by all nodes, and rest,
-    though they serve everybody else.
+    If it reported that, all nodes would doubt all heads and send them nothing
+    during the cool-down, though the heads serve everybody else.
     """
     cut, other = node(1), node(2)
     for number in range(40):
         cut.failed(f"i-{number % 8}", number, 1000.0 + number)
     assert cut.fail_odds("i-1", 1050) > DOUBT_THRESHOLD
-    tell(cut, other, now_ms=1050)
+    send_updates(cut, other, now_ms=1050)
     assert not any(other.fail_odds(f"i-{number}", 1050) for number in range(8))
-    # It is served again, all but by one head.
+    # It is served again by all heads but one.
     for number in range(1, 8):
         cut.succeeded(f"i-{number}", 5000.0)
     cut.failed("i-0", 41, 5000)
     cut.failed("i-0", 42, 5000)
-    tell(cut, other, now_ms=5010)
+    send_updates(cut, other, now_ms=5010)
     assert other.fail_odds("i-0", 5010) > DOUBT_THRESHOLD
     assert not other.fail_odds("i-1", 5010)
 
 
-def test_runner_that_is_well_again_is_tried_and_trusted_soon():
+def test_recovered_runner_is_trusted_again():
     one = node()
     for number in range(20):
         one.failed(HEAD, number, 1000.0 + 20 * number)
     assert one.fail_odds(HEAD, 1400) > DOUBT_THRESHOLD
-    # Tried again by itself after some seconds, sooner where all else is full.
+    # It gets attempts again after some seconds, or sooner if all others are
+    # full.
     assert one.fail_odds(HEAD,
                          1400 + 5 * reliability.HALF_LIFE_MS) < DOUBT_THRESHOLD
     for number in range(5):
@@ -147,11 +151,11 @@
     assert one.fail_odds(HEAD, 1510) < DOUBT_THRESHOLD
 
 
-def test_nodes_do_not_all_try_again_at_the_same_moment():
-    """All nodes heard the same failures; when they forget, one must try first.
+def test_nodes_resume_attempts_at_different_times():
+    """All nodes know the same failures, but one node must resume first.
 
-    Tried again by all of them at once, a head that still failed took as many
-    requests as came before the first of them had told of it.
+    If all of them resumed at once, a head that still failed would fail all
+    requests that come before the first failure is reported.
     """
     ends_ms = []
     for seed in range(12):
@@ -166,7 +170,7 @@
     assert len(set(ends_ms)) > 8
 
 
-def test_doubts_are_told_once_and_when_they_end():
+def test_doubt_changes_are_returned_once():
     one = node()
     one.failed(HEAD, 1, 1000)
     assert not one.doubt_changes(1000)
@@ -174,36 +178,34 @@
     ((runner, odds),) = one.doubt_changes(1010)
     assert runner == HEAD and odds > DOUBT_THRESHOLD
     assert not one.doubt_changes(1020)
-    one.drop_expired(1010 + 2 * reliability.FORGOTTEN_MS)
-    assert one.doubt_changes(1010 + 2 * reliability.FORGOTTEN_MS) == [(HEAD,
-                                                                       0.0)]
-    assert not one.doubt_changes(1010 + 2 * reliability.FORGOTTEN_MS)
+    one.drop_expired(1010 + 2 * reliability.EXPIRY_MS)
+    assert one.doubt_changes(1010 + 2 * reliability.EXPIRY_MS) == [(HEAD, 0.0)]
+    assert not one.doubt_changes(1010 + 2 * reliability.EXPIRY_MS)
 
 
-def test_runner_rests_only_a_moment():
+def test_cool_down_ends():
     one = node()
     assert not one.is_cooling_down(HEAD, 1000)
     one.failed(HEAD, 1, 1000)
     assert one.is_cooling_down(HEAD, 1001)
-    assert not one.is_cooling_down(HEAD, 1000 + reliability.REST_MS)
+    assert not one.is_cooling_down(HEAD, 1000 + reliability.COOLDOWN_MS)
 
 
-def test_old_failures_are_not_told_on_for_ever():
-    """Each hop makes a failure look younger by the time that it was under way.
+def test_failures_are_not_relayed_for_ever():
+    """Each hop makes a failure look newer by the transmission time.
 
-    Nodes that tell on what they heard would tell each other for ever, if they
-    did so until they forget it.
+    If nodes relayed failures until these expire, they would do so for ever.
     """
     nodes = [node(seed) for seed in range(4)]
     nodes[0].failed(HEAD, 1, 0)
     delay_ms = 100.0
     now_ms = 0.0
-    while now_ms < 4 * reliability.FORGOTTEN_MS:
-        news = [each.updates_for_peers(now_ms) for each in nodes]
+    while now_ms < 4 * reliability.EXPIRY_MS:
+        updates = [each.updates_for_peers(now_ms) for each in nodes]
         now_ms += delay_ms
         for each in nodes:
             each.drop_expired(now_ms)
-            for number, told in enumerate(news):
+            for number, told in enumerate(updates):
                 each.receive(told, str(number), now_ms)
     assert not any(each.updates_for_peers(now_ms) for each in nodes)
     assert not any(each.fail_odds(HEAD, now_ms) for each in nodes)
@@ -214,16 +216,17 @@
                                        strategies.integers(0, 9),
                                        strategies.floats(0, 3000)),
                      max_size=200))
-def test_what_is_told_is_bounded_and_comes_back_the_same(tries):
+def test_reports_are_bounded_and_relayed_unchanged(tries):
     one, other = node(1), node(2)
     for runner, request, at_ms in tries:
         one.failed(f"i-{runner}", request, at_ms)
-    news = one.updates_for_peers(3000)
-    assert len(news) <= reliability.MAX_TOLD_RUNNERS
+    updates = one.updates_for_peers(3000)
+    assert len(updates) <= reliability.MAX_REPORTED_RUNNERS
     assert all(
-        len(each.failures) <= reliability.MAX_TOLD_FAILURES for each in news)
-    other.receive(news, "one", 3000)
-    for each in news:
+        len(each.failures) <= reliability.MAX_REPORTED_FAILURES
+        for each in updates)
+    other.receive(updates, "one", 3000)
+    for each in updates:
         assert set(each.failures) <= set(
             next(back for back in other.updates_for_peers(3000)
                  if back.runner == each.runner).failures)
