--- a/cardamommill/platform/advice.py
+++ b/cardamommill/platform/advice.py
@@ -1,4 +1,4 @@
-"""Decodes what a runner asks of its callers in the headers of its answers."""
+"""Decodes rate limit, leaving flag and Retry-After from runners' answers."""
 
 import re
 
@@ -7,50 +7,54 @@
 from cardamommill.platform import words
 
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-_YES = "1"
-_NO = "0"
+_TRUE = "1"
+_FALSE = "0"
 
 
 def rate_limit_per_s(headers: httpheaders.Headers, runner: str) -> float | None:
-    """Returns how many requests a second a runner takes from all nodes.
+    """Returns how many requests per second a runner takes from all nodes.
 
     Args:
-        headers: Of one of its answers.
-        runner: Who answered.
+        headers: The headers of one of its answers.
+        runner: The id of the runner that answered.
 
     Returns:
-        The limit, or None where the answer names none.
+        The limit, or None if the answer names none.
 
     Raises:
         BadPeerMessage: The header holds no decimal number.
     """
     text = httpheaders.first_value(headers, words.SERVER_LIMIT)
-    return None if text is None else _decimal(words.SERVER_LIMIT, text, runner)
+    return None if text is None else _parse_decimal(words.SERVER_LIMIT, text,
+                                                    runner)
 
 
 def is_leaving(headers: httpheaders.Headers, runner: str) -> bool:
-    """Returns whether a runner says that it leaves.
+    """Returns whether a runner announces that it is leaving.
 
     Args:
-        headers: Of one of its answers.
-        runner: Who answered.
+        headers: The headers of one of its answers.
+        runner: The id of the runner that answered.
 
     Raises:
-        BadPeerMessage: The header says neither yes nor no.
+        BadPeerMessage: The header is neither 0 nor 1.
     """
-    text = httpheaders.first_value(headers, words.SERVER_LEAVING) or _NO
-    if text.strip() not in (_YES, _NO):
-        raise _malformed(words.SERVER_LEAVING, f"neither yes nor no: {text!r}",
+    text = httpheaders.first_value(headers, words.SERVER_LEAVING) or _FALSE
+    if text.strip() not in (_TRUE, _FALSE):
+        raise _malformed(words.SERVER_LEAVING, f"expected 0 or 1, got {text!r}",
                          runner)
-    return text.strip() == _YES
+    return text.strip() == _TRUE
 
 
 def rest_ms(headers: httpheaders.Headers, runner: str) -> float:
-    """Returns for how long a runner that refused wants nothing of this node.
+    """Returns for how long this node must not send to a runner that refused.
 
     Args:
-        headers: Of its answer.
-        runner: Who answered.
+        headers: The headers of the refusal.
+        runner: The id of the runner that refused.
+
+    Returns:
+        The time from `Retry-After`; 0 if the refusal names none.
 
     Raises:
         BadPeerMessage: The header holds no decimal number of seconds.
@@ -58,12 +62,13 @@
     text = httpheaders.first_value(headers, words.RETRY_AFTER)
     if text is None:
         return 0.0
-    return units.MS_PER_S * _decimal(words.RETRY_AFTER, text, runner)
+    return units.MS_PER_S * _parse_decimal(words.RETRY_AFTER, text, runner)
 
 
-def _decimal(name: str, text: str, runner: str) -> float:
+def _parse_decimal(name: str, text: str, runner: str) -> float:
     if not _DECIMAL.fullmatch(text.strip()):
-        raise _malformed(name, f"no decimal number: {text!r}", runner)
+        raise _malformed(name, f"expected a decimal number, got {text!r}",
+                         runner)
     return float(text)
 
 
--- a/cardamommill/platform/configurations.py
+++ b/cardamommill/platform/configurations.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration into the product's own types."""
+"""Decodes the operator's configuration into the types of `gateway.model`."""
 
 import hashlib
 from typing import Annotated, Any
@@ -18,11 +18,12 @@
 
 
 class _Route(wire.Wire):
-    """A route.
+    """A route from a host and path prefix to services.
 
     Attributes:
-        type: What may be repeated, under the platform's word "type".
-        service: The one service; in place of it `backends` may stand.
+        type: The route's kind, which says whether requests may be repeated;
+            the platform's name for it is "type".
+        service: The only service; unused if `backends` lists services.
     """
 
     name: str = ""
@@ -41,7 +42,7 @@
 
     @pydantic.field_validator("backends", mode="before")
     @classmethod
-    def _none_for_null(cls, value: Any) -> Any:
+    def _empty_if_null(cls, value: Any) -> Any:
         return value or ()
 
 
@@ -107,88 +108,92 @@
 
 
 def key_digest(key: str) -> bytes:
-    """Returns what is kept of an API key."""
+    """Returns the SHA-256 digest that is kept in place of an API key."""
     return hashlib.sha256(key.encode("utf-8", "replace")).digest()
 
 
 def decode(value: bytes) -> model.Configuration:
-    """Returns the configuration that a row holds.
+    """Returns the configuration that a row of the store holds.
 
     Args:
         value: The row's value, JSON.
 
     Raises:
-        BadPeerMessage: It is no whole configuration; nothing of it counts.
+        BadPeerMessage: The value is incomplete or invalid; no part of it is
+            used.
     """
     try:
-        wire = _Configuration.model_validate_json(value)
+        configuration = _Configuration.model_validate_json(value)
     except pydantic.ValidationError as error:
-        # Not the text that was found: it may hold a key.
+        # The message leaves out the input, which may hold an API key.
         first = error.errors(include_url=False, include_input=False)[0]
         raise exceptions.BadPeerMessage(
             f"{'.'.join(map(str, first['loc']))}: {first['type']}",
             step="decode configuration",
             peer="platform") from None
     return model.Configuration(
-        version=wire.version,
-        routes=tuple(_route(each) for each in wire.routes),
-        services={each.name: _service(each) for each in wire.services},
-        limits=model.Limits(wire.limits.headerBytes, wire.limits.bodyBytes,
-                            wire.limits.headerMs, wire.limits.idleMs),
+        version=configuration.version,
+        routes=tuple(_route(each) for each in configuration.routes),
+        services={each.name: _service(each) for each in configuration.services},
+        limits=model.Limits(configuration.limits.headerBytes,
+                            configuration.limits.bodyBytes,
+                            configuration.limits.headerMs,
+                            configuration.limits.idleMs),
         tenants=tuple(
             model.Tenant(each.name, tuple(map(key_digest, each.apiKeys)),
-                         each.priority) for each in wire.tenants))
-
-
-def _route(wire: _Route) -> model.Route:
-    backends = tuple((each.service, each.weight) for each in wire.backends)
-    return model.Route(name=wire.name,
-                       host=wire.host.lower(),
-                       prefix=wire.prefix,
-                       kind=wire.type,
-                       timeout_ms=wire.timeoutMs,
-                       goal_ms=wire.goalMs,
-                       gap_goal_ms=wire.gapGoalMs,
-                       priority=wire.priority,
-                       backends=backends or ((wire.service, 1.0),),
-                       max_attempts=max(1, wire.maxAttempts),
-                       public=wire.public,
-                       resumable=wire.resumable)
-
-
-def _service(wire: _Service) -> model.Service:
-    return model.Service(name=wire.name,
-                         health_path=wire.healthPath,
-                         max_connections=wire.maxConns,
-                         engine=_engine(wire.engine) if wire.engine else None)
-
-
-def _engine(wire: _Engine) -> model.Engine | None:
-    if not wire.models:
+                         each.priority) for each in configuration.tenants))
+
+
+def _route(route: _Route) -> model.Route:
+    backends = tuple((each.service, each.weight) for each in route.backends)
+    return model.Route(name=route.name,
+                       host=route.host.lower(),
+                       prefix=route.prefix,
+                       kind=route.type,
+                       timeout_ms=route.timeoutMs,
+                       goal_ms=route.goalMs,
+                       gap_goal_ms=route.gapGoalMs,
+                       priority=route.priority,
+                       backends=backends or ((route.service, 1.0),),
+                       max_attempts=max(1, route.maxAttempts),
+                       public=route.public,
+                       resumable=route.resumable)
+
+
+def _service(service: _Service) -> model.Service:
+    return model.Service(
+        name=service.name,
+        health_path=service.healthPath,
+        max_connections=service.maxConns,
+        engine=_engine(service.engine) if service.engine else None)
+
+
+def _engine(engine: _Engine) -> model.Engine | None:
+    if not engine.models:
         return None
-    return model.Engine(slots=max(1, wire.slots),
-                        kv_tokens=wire.kvCapacity,
-                        stride=max(1, wire.stride),
-                        step_ms=wire.step_ms,
-                        per_sequence_ms=wire.per_seq_ms,
-                        context_per_k_ms=wire.context_per_k,
-                        read_tokens_per_ms=wire.read_per_s / units.MS_PER_S,
-                        pairs_per_m_ms=wire.pairs_per_m,
-                        chunk_tokens=wire.chunk,
-                        loads_per_s=wire.loadsPerS,
-                        loads_at_once=max(1, wire.loads_at_once),
-                        form_ms=wire.formMs,
-                        report_lag_ms=wire.report_lag_ms,
-                        far_factor=max(1.0, wire.far_x),
-                        usual_prompt_tokens=wire.usual.prompt,
-                        usual_answer_tokens=wire.usual.answer,
-                        models=tuple(_model(each) for each in wire.models))
-
-
-def _model(wire: _Model) -> model.ServedModel:
-    return model.ServedModel(name=wire.name,
-                             size=max(1, wire.size),
-                             share=wire.share,
-                             pace=wire.pace,
-                             load_ms=wire.loadS * units.MS_PER_S,
-                             warm_ms=wire.warmS * units.MS_PER_S)
+    return model.Engine(slots=max(1, engine.slots),
+                        kv_tokens=engine.kvCapacity,
+                        stride=max(1, engine.stride),
+                        step_ms=engine.step_ms,
+                        per_sequence_ms=engine.per_seq_ms,
+                        context_per_k_ms=engine.context_per_k,
+                        read_tokens_per_ms=engine.read_per_s / units.MS_PER_S,
+                        pairs_per_m_ms=engine.pairs_per_m,
+                        chunk_tokens=engine.chunk,
+                        loads_per_s=engine.loadsPerS,
+                        loads_at_once=max(1, engine.loads_at_once),
+                        form_ms=engine.formMs,
+                        report_lag_ms=engine.report_lag_ms,
+                        far_factor=max(1.0, engine.far_x),
+                        usual_prompt_tokens=engine.usual.prompt,
+                        usual_answer_tokens=engine.usual.answer,
+                        models=tuple(_model(each) for each in engine.models))
+
+
+def _model(served: _Model) -> model.ServedModel:
+    return model.ServedModel(name=served.name,
+                             size=max(1, served.size),
+                             share=served.share,
+                             pace=served.pace,
+                             load_ms=served.loadS * units.MS_PER_S,
+                             warm_ms=served.warmS * units.MS_PER_S)
--- a/cardamommill/platform/entries.py
+++ b/cardamommill/platform/entries.py
@@ -1,4 +1,4 @@
-"""Decodes what runners say of themselves, in the store or by report."""
+"""Decodes runners' entries in the runner list and runners' reports."""
 
 import json
 from typing import Annotated, Any, TypeVar
@@ -9,7 +9,7 @@
 from cardamommill.gateway import model
 from cardamommill.platform import wire, words
 
-_STATES = {each.value: each for each in model.MemberState}
+_MEMBER_STATES = {each.value: each for each in model.MemberState}
 
 _T = TypeVar("_T", bound=wire.Wire)
 
@@ -25,11 +25,11 @@
     state: str
 
 
-class _WireStanding(wire.Wire):
-    """What an entry and a report share.
+class _WireStatus(wire.Wire):
+    """Fields that an entry and a report have in common.
 
     Attributes:
-        domain: The fabric domain; missing where a service has no groups.
+        domain: The fabric domain; missing if the service has no groups.
         staged: Models on the runner's host: names, or objects with a name.
     """
 
@@ -39,8 +39,8 @@
     group: Annotated[_WireGroup | None, wire.NONE_IF_EMPTY] = None
 
 
-class _WireEntry(_WireStanding):
-    """A row of the list; its `seq` counts heartbeats, not orders."""
+class _WireEntry(_WireStatus):
+    """A row of the runner list; its `seq` counts heartbeats, not orders."""
 
     service: str
     address: Annotated[str,
@@ -50,8 +50,8 @@
     state: str
 
 
-class _WireReport(_WireStanding):
-    """A report; its `seq` counts the orders that began something."""
+class _WireReport(_WireStatus):
+    """A runner's report; its `seq` counts the orders that began work."""
 
     seq: int
     busy: bool = False
@@ -64,23 +64,24 @@
                  value: bytes,
                  row_version: int,
                  row_era: int = 0) -> model.Runner:
-    """Returns the runner that a row of the list of runners describes.
+    """Returns the runner that a row of the runner list describes.
 
     Args:
-        runner: The row's key, the id of this life of the runner.
+        runner: The row's key, the id of this incarnation of the runner.
         value: The row's value, JSON.
-        row_version: Of the row.
-        row_era: Of the store, in which that version was given out.
+        row_version: The row's version.
+        row_era: The era of the store in which that version was assigned.
 
     Raises:
-        BadPeerMessage: The row is no entry of a runner, or its state is none
-            that this version knows: it names no runner.
+        BadPeerMessage: The row is no valid entry, or its state is unknown to
+            this version of the software; the row then names no runner.
     """
-    entry = _parsed(_WireEntry, value, runner)
+    entry = _parse(_WireEntry, value, runner)
     if entry.state not in (words.READY, words.DRAINING):
-        raise exceptions.BadPeerMessage(f"unknown state {entry.state!r}",
-                                        step="decode entry",
-                                        peer=runner)
+        raise exceptions.BadPeerMessage(
+            f"unknown state {entry.state!r}, expected ready or draining",
+            step="decode entry",
+            peer=runner)
     host, _, port = entry.address.rpartition(":")
     return model.Runner(id=runner,
                         service=entry.service,
@@ -90,22 +91,22 @@
                         leaving=entry.state == words.DRAINING,
                         slots=max(1, entry.slots),
                         row_version=row_version,
-                        status=_standing(entry, runner),
+                        status=_runner_status(entry, runner),
                         row_era=row_era)
 
 
 def decode_report(runner: str, body: bytes) -> model.Report:
-    """Returns a runner's own report.
+    """Returns the report that a runner gives of itself.
 
     Args:
-        runner: Who was asked.
+        runner: The id of the runner that was asked.
         body: The answer's body, JSON.
 
     Raises:
-        BadPeerMessage: The body is no report.
+        BadPeerMessage: The body is no valid report.
     """
-    report = _parsed(_WireReport, body, runner)
-    return model.Report(status=_standing(report, runner),
+    report = _parse(_WireReport, body, runner)
+    return model.Report(status=_runner_status(report, runner),
                         orders_begun=report.seq,
                         busy=report.busy,
                         waiting=report.queued,
@@ -113,7 +114,7 @@
                         pace=max(0.05, report.pace))
 
 
-def _parsed(kind: type[_T], value: bytes, peer: str) -> _T:
+def _parse(kind: type[_T], value: bytes, peer: str) -> _T:
     try:
         return kind.model_validate_json(value)
     except pydantic.ValidationError as error:
@@ -124,29 +125,34 @@
             peer=peer) from None
 
 
-def _standing(wire: _WireStanding, peer: str) -> model.RunnerStatus:
-    return model.RunnerStatus(domain=str(wire.domain),
+def _runner_status(status: _WireStatus, peer: str) -> model.RunnerStatus:
+    return model.RunnerStatus(domain=str(status.domain),
                               staged=tuple(
                                   each if isinstance(each, str) else each.name
-                                  for each in wire.staged),
-                              models=tuple(each.name for each in wire.models),
-                              membership=_membership(wire.group, peer))
+                                  for each in status.staged),
+                              models=tuple(each.name for each in status.models),
+                              membership=_membership(status.group, peer))
 
 
 def _membership(group: _WireGroup | None, peer: str) -> model.Membership | None:
     if group is None or not group.name:
         return None
-    if group.state not in _STATES:
+    if group.state not in _MEMBER_STATES:
         raise exceptions.BadPeerMessage(
-            f"unknown state of a member: {group.state!r}",
+            f"unknown group member state {group.state!r}",
             step="decode group",
             peer=peer)
     return model.Membership(group.name, group.epoch, group.rank,
-                            _STATES[group.state])
+                            _MEMBER_STATES[group.state])
 
 
 def json_body(body: bytes, step: str, peer: str) -> dict[str, Any]:
-    """Returns a JSON object.
+    """Returns the JSON object that a body holds.
+
+    Args:
+        body: The body of a request or an answer.
+        step: The step to name in the error.
+        peer: The sender to name in the error.
 
     Raises:
         BadPeerMessage: The body is no JSON object.
@@ -154,9 +160,11 @@
     try:
         value = json.loads(body)
     except ValueError as error:
-        raise exceptions.BadPeerMessage(f"no JSON: {error}",
+        raise exceptions.BadPeerMessage(f"invalid JSON: {error}",
                                         step=step,
                                         peer=peer) from None
     if not isinstance(value, dict):
-        raise exceptions.BadPeerMessage("no JSON object", step=step, peer=peer)
+        raise exceptions.BadPeerMessage("expected a JSON object",
+                                        step=step,
+                                        peer=peer)
     return value
--- a/cardamommill/platform/wire.py
+++ b/cardamommill/platform/wire.py
@@ -1,12 +1,12 @@
-"""What all checked objects of the platform's JSON have in common."""
+"""The base of the models that validate the platform's JSON objects."""
 
 import pydantic
 
-# For objects that are absent, null or {} where there is none.
+# For optional objects, which may be absent, null or {}.
 NONE_IF_EMPTY = pydantic.BeforeValidator(lambda value: value or None)
 
 
 class Wire(pydantic.BaseModel):
-    """An object on the wire; fields that it doesn't know are passed over."""
+    """A JSON object of the platform; unknown fields are ignored."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
--- a/cardamommill/platform/words.py
+++ b/cardamommill/platform/words.py
@@ -1,6 +1,6 @@
-"""Names that the platform, its clients and its runners use on the wire."""
+"""Names of headers, paths, tables and states that the platform defines."""
 
-# Headers. The client's attempt id is what "at most once" is counted by.
+# Headers. The client sets the attempt id; "at most once" holds per attempt id.
 ATTEMPT_ID = "X-Cardamommill-Attempt-Id"
 DEADLINE_MS = "X-Cardamommill-Deadline-Ms"
 EXPECT_INSTANCE = "X-Cardamommill-Expect-Instance"
@@ -8,23 +8,24 @@
 LAST_EVENT_ID = "Last-Event-Id"
 MODEL = "X-Cardamommill-Model"
 NOT_EXECUTED = "X-Cardamommill-Not-Executed"
-# "R,W,S": requests that run, that wait, and places, at the runner.
+# "R,W,S": running requests, waiting requests and slots of the runner.
 SERVER_LOAD = "X-Cardamommill-Server-Load"
 REQUEST_PRIORITY = "X-Cardamommill-Request-Priority"
 SEAL = "X-Cardamommill-Response-Seal"
 TENANT = "X-Cardamommill-Tenant"
-# "IN,OUT": tokens of the prompt, and the most that may be written.
+# "IN,OUT": tokens of the prompt, and the most tokens that the answer may have.
 TOKEN_COUNTS = "X-Cardamommill-Token-Counts"
 LENGTH_HINT = "X-Cardamommill-Length-Hint"
-# In answers of the store: rises by one each time it is restored.
+# In the store's answers: rises by one each time the store is restored.
 STORE_ERA = "Store-Era"
-# Requests a second that a runner takes from all nodes, while it names it.
+# Requests per second that a runner takes from all nodes together; the limit
+# holds for as long as its answers carry the header.
 SERVER_LIMIT = "Server-Limit"
-# In all answers of a runner that leaves.
+# In all answers of a runner that is leaving.
 SERVER_LEAVING = "Server-Leaving"
-# In a refusal of a runner: for how many seconds it wants nothing of this node.
+# In a runner's refusal: for how many seconds this node must send it nothing.
 RETRY_AFTER = "Retry-After"
-# The runner at fault in a 421 or 503 of a group's head.
+# In a 421 or 503 from a group's head: the runner at fault.
 AT_SERVER = "At-Server"
 
 READY_PATH = "/cardamommill/readyz"
--- a/tests/platform/test_advice.py
+++ b/tests/platform/test_advice.py
@@ -1,4 +1,4 @@
-"""Tests of what answers of runners ask of their callers."""
+"""Tests of decoding the headers by which runners limit their callers."""
 
 import pytest
 
@@ -8,34 +8,35 @@
 
 @pytest.mark.parametrize("text,per_s", [("3", 3.0), ("1.6", 1.6), ("0", 0.0),
                                         (" 2.50 ", 2.5)])
-def test_limit_is_a_decimal_number(text, per_s):
+def test_rate_limit_is_a_decimal_number(text, per_s):
     assert advice.rate_limit_per_s([("server-limit", text)], "i-1") == per_s
 
 
-def test_answer_without_the_header_names_no_limit():
+def test_answer_without_header_names_no_rate_limit():
     assert advice.rate_limit_per_s([("X-Other", "3")], "i-1") is None
 
 
-def test_rest_is_asked_for_in_seconds():
+def test_retry_after_is_in_seconds():
     assert advice.rest_ms([("Retry-After", "0.25")], "i-1") == 250.0
     assert not advice.rest_ms([], "i-1")
 
 
-def test_runner_says_that_it_leaves():
+def test_leaving_flag_is_decoded():
     assert advice.is_leaving([("server-leaving", "1")], "i-1")
     assert not advice.is_leaving([("server-leaving", "0")], "i-1")
     assert not advice.is_leaving([], "i-1")
 
 
-def test_leaving_that_says_neither_yes_nor_no_is_refused():
-    with pytest.raises(exceptions.BadPeerMessage, match=r"neither.*i-1"):
+def test_leaving_flag_other_than_0_or_1_is_refused():
+    with pytest.raises(exceptions.BadPeerMessage,
+                       match=r"expected 0 or 1.*i-1"):
         advice.is_leaving([("Server-Leaving", "soon")], "i-1")
 
 
 @pytest.mark.parametrize("decode", [advice.rate_limit_per_s, advice.rest_ms])
 @pytest.mark.parametrize("text",
                          ["", "-1", "1e3", "nan", "1,5", "0x1", "9" * 30, "١"])
-def test_malformed_number_is_refused_with_its_runner(text, decode):
+def test_error_for_malformed_number_names_the_runner(text, decode):
     headers = [("Server-Limit", text), ("Retry-After", text)]
     with pytest.raises(exceptions.BadPeerMessage, match=r"decode answer.*i-1"):
         decode(headers, "i-1")
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -35,20 +35,20 @@
     assert found.services["plain"].engine is None
 
 
-def test_keys_are_kept_as_digests_alone():
+def test_only_digests_of_keys_are_kept():
     assert "secret-key" not in repr(decode())
     assert decode().tenants[0].key_digests == (
         configurations.key_digest("secret-key"),)
 
 
-def test_route_may_be_split():
+def test_route_may_have_several_backends():
     backends = [{"service": "x", "weight": 9}, {"service": "y", "weight": 1}]
     found = decode(
         lambda wire: wire["routes"][0].update(backends=backends, service=""))
     assert found.routes[0].backends == (("x", 9.0), ("y", 1.0))
 
 
-def test_unknown_fields_are_left():
+def test_unknown_fields_are_ignored():
     assert decode(lambda wire: wire.update(novel={"a": 1})).version == 7
 
 
@@ -58,7 +58,7 @@
     lambda wire: wire["routes"][0].update(prefix="no-slash"),
     lambda wire: wire["tenants"][0].update(apiKeys="secret-key"),
 ])
-def test_half_a_configuration_counts_for_nothing(change):
+def test_invalid_configuration_is_refused_without_naming_keys(change):
     with pytest.raises(exceptions.BadPeerMessage) as caught:
         decode(change)
     assert "secret-key" not in str(caught.value)
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what runners say."""
+"""Tests of decoding runners' entries and reports."""
 
 import json
 
@@ -85,7 +85,7 @@
         }
     },
 ])
-def test_entry_that_says_what_nobody_knows_names_no_runner(changes):
+def test_entry_with_unknown_or_missing_values_is_refused(changes):
     with pytest.raises(exceptions.BadPeerMessage):
         decode(**changes)
 
@@ -96,9 +96,9 @@
         entries.decode_entry("i-1", data, 1)
 
 
-def test_count_of_orders_comes_from_reports_alone():
-    # The list's field of the same name counts heartbeats: taken for orders,
-    # half of all orders were refused.
+def test_count_of_orders_comes_only_from_reports():
+    # The runner list has a field of the same name that counts heartbeats. When
+    # it was taken for the count of orders, half of all orders were refused.
     report = entries.decode_report("i-1", json.dumps({"seq": 2}).encode())
     assert report.orders_begun == 2
     assert not hasattr(decode().status, "seq")
