--- a/cardamommill/platform/ordercalls.py
+++ b/cardamommill/platform/ordercalls.py
@@ -1,4 +1,4 @@
-"""Orders to runners, and questions about them."""
+"""Sends orders to runners and asks runners for their reports."""
 
 import enum
 import json
@@ -7,30 +7,32 @@
 from cardamommill.gateway import fetching, model, orders, upstream
 from cardamommill.platform import entries, words
 
-# A runner answers in a few ms; one that is dark never does. An order that was
-# not answered is sent again, and one that is late refused by its count.
+# A runner answers in a few ms; an unreachable one never does. An unanswered
+# order is sent again, and a copy that arrives late is refused by the count of
+# orders that it expects.
 ORDER_TIMEOUT_MS = 300
 REPORT_TIMEOUT_MS = 150
 
 
 class Reply(enum.Enum):
-    """What a runner said of an order."""
+    """A runner's reply to an order."""
 
     BEGUN = "begun"
     DONE = "done"
-    # Its state or its count of orders is not what the order expected.
+    # The runner's state or count of orders is not the expected one.
     UNFIT = "unfit"
-    # Another runner has the address, or an epoch was too old.
+    # Another runner has the address, or an epoch was too old; also where the
+    # order was not sent, and for any other status.
     REFUSED = "refused"
-    # It may be carried out, also later.
+    # No complete answer: the order may have been carried out, or may be yet.
     UNKNOWN = "unknown"
 
 
-_REPLIES = {200: Reply.DONE, 202: Reply.BEGUN, 409: Reply.UNFIT}
+_REPLY_BY_STATUS = {200: Reply.DONE, 202: Reply.BEGUN, 409: Reply.UNFIT}
 
 
 def order_body(order: orders.Order) -> dict[str, Any]:
-    """Returns an order as the runner takes it."""
+    """Returns an order as the JSON object that runners expect."""
     body: dict[str, Any] = {"operation": order.operation.value}
     if order.group is not None:
         body |= {"group": order.group.name, "epoch": order.group.epoch}
@@ -47,7 +49,12 @@
 
 async def send_order(pool: upstream.Pool, runner: model.Runner,
                      order: orders.Order) -> tuple[Reply, str]:
-    """Sends an order; returns the reply, and why where it is not done."""
+    """Sends an order to a runner.
+
+    Returns:
+        The reply, and what it rests on: status and start of the body, or why
+        there is no complete answer.
+    """
     request = fetching.request_bytes("POST", words.ORDER_PATH, [
         ("Host", f"{runner.host}:{runner.port}"),
         (words.EXPECT_INSTANCE, runner.id),
@@ -60,16 +67,19 @@
         return Reply.REFUSED, answer.reason
     if answer.ending is not upstream.Ending.COMPLETE:
         return Reply.UNKNOWN, answer.reason
-    reply = _REPLIES.get(answer.head.status, Reply.REFUSED)
+    reply = _REPLY_BY_STATUS.get(answer.head.status, Reply.REFUSED)
     return reply, f"{answer.head.status} {answer.body[:120]!r}"
 
 
 async def ask_report(pool: upstream.Pool,
                      runner: model.Runner) -> model.Report | None:
-    """Returns a runner's report; None where it gave none in time.
+    """Asks a runner for its report.
+
+    Returns:
+        The report; None without a complete answer of status 200 in time.
 
     Raises:
-        BadPeerMessage: It answered with something else.
+        BadPeerMessage: The answer's body is no valid report.
     """
     request = fetching.request_bytes("GET", words.REPORT_PATH,
                                      [("Host", f"{runner.host}:{runner.port}"),
--- a/cardamommill/platform/storecalls.py
+++ b/cardamommill/platform/storecalls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""The client of the platform's store: table reads, change feeds and writes."""
 
 import asyncio
 import base64
@@ -14,11 +14,11 @@
 from cardamommill.gateway import clock, eras, fetching, httpheaders, upstream
 from cardamommill.platform import entries, words
 
-# A store that is sixty times as slow as usual answers in 300 ms; one that has
-# fallen silent should be asked again soon.
+# A store that is sixty times as slow as usual answers in 300 ms; one that
+# does not answer at all should be asked again soon.
 READ_TIMEOUT_MS = 1000
-# What a feed's answer may take beyond the time that it was asked to wait: with
-# more, one lost answer would leave keys unconfirmed for too long.
+# How long a feed's answer may take beyond the wait that was asked for. A longer
+# margin would leave API keys unconfirmed for too long after one lost answer.
 FEED_MARGIN_MS = 500
 _OK = 200
 _GONE = 410
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One row; `deleted` rows have no value."""
+    """One row of a table; the value of a deleted row is empty."""
 
     key: str
     value: bytes
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rows:
-    """An answer about rows.
+    """Rows read from the store, and the time and version that they are as of.
 
     Attributes:
-        rows: What was read.
-        version: The store's newest version then.
-        as_of_ms: A time on this node's clock, not later than that at which
-            the store answered.
-        era: In which the store gave out all these versions.
+        rows: The rows that were read.
+        version: The store's newest version when it answered.
+        as_of_ms: A time on this node's clock, not later than when the
+            store answered.
+        era: The era in which the store assigned all these versions.
     """
 
     rows: tuple[Row, ...]
@@ -55,29 +55,30 @@
 
     @property
     def position(self) -> eras.TablePosition:
-        """How far a table is known by this answer."""
+        """The era and version up to which this answer covers the table."""
         return eras.TablePosition(self.era, self.version)
 
 
 class HistoryLost(exceptions.StoreError):
-    """The feed's history is gone; the whole table must be read."""
+    """The store no longer has the changes asked for; read the whole table."""
 
 
 class Restored(HistoryLost):
-    """The store is in a newer era than the one that was asked about."""
+    """The store was restored and is in a newer era than the one asked about."""
 
 
 class Store:
-    """The store as one node sees it."""
+    """One node's client of the platform's store."""
 
     def __init__(self, pool: upstream.Pool, address: upstream.Address) -> None:
         self._pool = pool
         self._address = address
         self.eras = eras.EraTracker()
-        self._refused_era: str | None = None
+        self._last_refused_era: str | None = None
         self._peer = f"{address[0]}:{address[1]}"
-        # This node's clock less the store's, never more than it is: a call
-        # was answered after it was sent. A restored store's may have jumped.
+        # This node's clock minus the store's, as a lower bound: each call was
+        # answered after it was sent. Starts anew with each era, since the clock
+        # of a restored store may have jumped.
         self._offset_ms = float("-inf")
         self._offset_era = 0
         self.calls = 0
@@ -85,11 +86,11 @@
     async def table(self, table: str, part: str = "") -> Rows:
         """Returns all rows of a part of a table, as of the first page.
 
-        What changes while the rest is read comes again with the feed.
+        Rows that change while later pages are read come again with the feed.
 
         Raises:
-            HistoryLost: The store was restored meanwhile.
-            StoreError: No answer that can be used.
+            HistoryLost: The store was restored between two pages.
+            StoreError: The store gave no usable answer.
         """
         found: list[Row] = []
         first: Rows | None = None
@@ -106,48 +107,55 @@
             rows = self._rows(answer, sent_ms)
             found += rows.rows
             first = first or rows
-            self._expect_era(rows.era, first.era)
+            self._check_era(rows.era, first.era)
             if not answer.get("hasMore") or not rows.rows:
                 return dataclasses.replace(first, rows=tuple(found))
             after = rows.rows[-1].key + "\0"
 
     async def feed(self, table: str, after: eras.TablePosition,
                    wait_ms: int) -> Rows:
-        """Returns what changed in a table, when something has.
+        """Waits for changes of a table and returns the changed rows.
+
+        Args:
+            table: The table's name.
+            after: The position after which changes are asked for.
+            wait_ms: How long the store waits for a change; without one, it
+                answers with no rows.
 
         Raises:
-            HistoryLost: The table must be read whole.
-            StoreError: No answer that can be used.
+            HistoryLost: The changes after that position are gone, or the store
+                was restored; the whole table must be read.
+            StoreError: The store gave no usable answer.
         """
-        self._expect_era(self.eras.newest, after.era)
+        self._check_era(self.eras.newest, after.era)
         query = {"table": table, "sinceRev": after.version, "waitMs": wait_ms}
         timeout_ms = wait_ms + FEED_MARGIN_MS
-        asked = asyncio.ensure_future(
+        changes = asyncio.ensure_future(
             self._get(words.ROWS_FEED_PATH, query, timeout_ms))
-        restored = asyncio.ensure_future(
+        newer_era = asyncio.ensure_future(
             self.eras.wait_for_newer(after.era, timeout_ms))
         try:
-            await asyncio.wait((asked, restored),
+            await asyncio.wait((changes, newer_era),
                                return_when=asyncio.FIRST_COMPLETED)
-            self._expect_era(self.eras.newest, after.era)
-            rows = self._rows(*await asked)
+            self._check_era(self.eras.newest, after.era)
+            rows = self._rows(*await changes)
         finally:
-            asked.cancel()
-            restored.cancel()
-        self._expect_era(rows.era, after.era)
+            changes.cancel()
+            newer_era.cancel()
+        self._check_era(rows.era, after.era)
         return rows
 
-    def _expect_era(self, era: int, expected: int) -> None:
+    def _check_era(self, era: int, expected: int) -> None:
         if era != expected:
-            raise Restored(f"era {era} in place of {expected}",
+            raise Restored(f"store is in era {era}, expected era {expected}",
                            step="rows",
                            peer=self._peer)
 
     async def put(self, table: str, key: str, value: bytes) -> None:
-        """Writes a row, whatever it was.
+        """Writes a row unconditionally, whatever it held before.
 
         Raises:
-            StoreError: It may not have been written.
+            StoreError: The row may not have been written.
         """
         body = json.dumps({
             "expected": [],
@@ -180,7 +188,7 @@
         answer = await fetching.fetch(self._pool, self._address, request,
                                       timeout_ms)
         if answer.ending is upstream.Ending.COMPLETE:
-            self._see_era(answer.head.get(words.STORE_ERA), step)
+            self._observe_era(answer.head.get(words.STORE_ERA), step)
         check(answer, step, self._peer)
         try:
             return entries.json_body(answer.body, step, self._peer)
@@ -189,11 +197,11 @@
                                         step=step,
                                         peer=self._peer) from error
 
-    def _see_era(self, text: str | None, step: str) -> None:
-        """Takes the era of an answer.
+    def _observe_era(self, text: str | None, step: str) -> None:
+        """Records the era that an answer names.
 
-        One without an era that can be read counts as of the newest. One of an
-        older era was on its way when the store was restored.
+        An answer whose era is missing or malformed counts as of the newest era.
+        An answer of an older era was in flight when the store was restored.
 
         Raises:
             StoreError: The answer is of an older era.
@@ -202,23 +210,25 @@
         era = httpheaders.number(text)
         if era is None:
             if text is not None or newest:
-                self._refuse_era(text, step)
+                self._log_refused_era(text, step)
             return
         if era < newest:
-            self._refuse_era(text, step)
-            raise exceptions.StoreError(f"of era {era}, not {newest}",
-                                        step=step,
-                                        peer=self._peer)
-        self._refused_era = None
+            self._log_refused_era(text, step)
+            raise exceptions.StoreError(
+                f"answer is of era {era}, older than era {newest}",
+                step=step,
+                peer=self._peer)
+        self._last_refused_era = None
         if self.eras.observe(era):
             _LOG.warning(
                 logs.line("store-restored", era=era, before=newest, step=step))
 
-    def _refuse_era(self, text: str | None, step: str) -> None:
+    def _log_refused_era(self, text: str | None, step: str) -> None:
+        """Logs an era that is not used, once while answers repeat it."""
         told = text or "none"
-        if told == self._refused_era:
+        if told == self._last_refused_era:
             return
-        self._refused_era = told
+        self._last_refused_era = told
         _LOG.warning(
             logs.line("store-era-refused",
                       told=told[:20],
@@ -244,20 +254,23 @@
 
 
 def check(answer: fetching.Answer, step: str, peer: str) -> None:
-    """Takes only a whole answer that gives what was asked for.
+    """Checks that an answer is complete and has status 200.
 
     Raises:
-        HistoryLost: The history asked for is gone.
-        StoreError: It is none that can be used.
+        HistoryLost: The status is 410: the changes asked for are gone.
+        StoreError: The answer is incomplete or has another status.
     """
     if answer.ending is not upstream.Ending.COMPLETE:
         raise exceptions.StoreError(answer.reason, step=step, peer=peer)
     if answer.head.status == _GONE:
-        raise HistoryLost("history gone", step=step, peer=peer)
+        raise HistoryLost("the changes asked for are gone (status 410)",
+                          step=step,
+                          peer=peer)
     if answer.head.status != _OK:
-        raise exceptions.StoreError(f"status {answer.head.status}",
-                                    step=step,
-                                    peer=peer)
+        raise exceptions.StoreError(
+            f"got status {answer.head.status}, expected 200",
+            step=step,
+            peer=peer)
 
 
 def _row(wire: dict[str, Any]) -> Row:
--- a/tests/platform/test_storecalls.py
+++ b/tests/platform/test_storecalls.py
@@ -1,4 +1,4 @@
-"""Tests of calls to the store, against the model's."""
+"""Tests of calls to the store, made against the model store."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from cardamommill.platform import storecalls
 
 
-def play(script):
+def run(script):
 
     async def main():
         store = modelstore.ModelStore()
@@ -23,7 +23,7 @@
         return loop.run_until_complete(main())
 
 
-def test_table_is_read_whole_with_its_time():
+def test_whole_table_is_read_with_its_time():
 
     async def script(store, calls):
         for number in range(700):
@@ -33,7 +33,7 @@
         assert len(rows.rows) == 700
         assert sent_ms <= rows.as_of_ms <= clock.now_ms()
 
-    play(script)
+    run(script)
 
 
 def test_feed_answers_at_once_when_something_changes():
@@ -48,12 +48,12 @@
         assert [each.key for each in rows.rows] == ["config"]
         assert 500 <= clock.now_ms() - began_ms < 520
 
-    play(script)
+    run(script)
 
 
-def test_feed_without_news_confirms_as_of_its_end():
-    # As of its sending alone it would be a feed's length older, and keys
-    # would be distrusted for nothing.
+def test_feed_without_changes_is_as_of_its_end():
+    # Dated at its sending, the answer would be older by the feed's whole wait,
+    # and valid API keys would be refused as unconfirmed.
 
     async def script(store, calls):
         store.put("op", "config", {})
@@ -62,10 +62,10 @@
         assert not rows.rows
         assert clock.now_ms() - rows.as_of_ms < 20
 
-    play(script)
+    run(script)
 
 
-def test_history_that_is_gone_is_told():
+def test_lost_history_is_reported():
 
     async def script(store, calls):
         store.put("op", "config", {})
@@ -75,11 +75,11 @@
         with pytest.raises(storecalls.HistoryLost):
             await calls.feed("op", eras.TablePosition(store.era, 0), 100)
 
-    play(script)
+    run(script)
 
 
 @pytest.mark.parametrize("fault", ["silent", "busy", "reset"])
-def test_store_that_fails_is_an_error_with_step_and_peer(fault):
+def test_error_of_failing_store_names_step_and_peer(fault):
 
     async def script(store, calls):
         store.fault = fault
@@ -87,10 +87,10 @@
             await calls.table("servers")
         assert caught.value.step and caught.value.peer
 
-    play(script)
+    run(script)
 
 
-def test_system_may_write_its_own_tables_alone():
+def test_only_own_tables_may_be_written():
 
     async def script(store, calls):
         await calls.put("nodes", "n", b"10.0.0.1")
@@ -98,11 +98,15 @@
         with pytest.raises(exceptions.StoreError):
             await calls.put("servers", "i", b"x")
 
-    play(script)
+    run(script)
 
 
-def test_restored_store_is_read_whole_though_it_gives_versions_out_again():
-    """A feed from an old version would skip what was written in its place."""
+def test_restored_store_is_read_whole_when_versions_repeat():
+    """A restored store assigns versions a second time.
+
+    A feed that continued after an old version would skip the rows that were
+    written under the same versions since the restore.
+    """
 
     async def script(store, calls):
         store.put("op", "config", {"version": 1})
@@ -118,10 +122,10 @@
         assert after.position > before.position
         assert {each.key for each in after.rows} == {"config", "other"}
 
-    play(script)
+    run(script)
 
 
-def test_feed_that_waits_ends_when_another_call_hears_of_the_restore():
+def test_waiting_feed_ends_when_another_call_sees_the_restore():
 
     async def script(store, calls):
         store.put("op", "config", {})
@@ -136,24 +140,24 @@
             await waiting
         assert clock.now_ms() - began_ms < 50
 
-    play(script)
+    run(script)
 
 
 @pytest.mark.parametrize("text", [None, "", "soon", "-3", "9" * 40])
-def test_era_that_can_not_be_read_changes_nothing(text):
+def test_unreadable_era_changes_nothing(text):
 
     async def script(store, calls):
         store.put("op", "config", {})
         rows = await calls.table("op")
-        calls._see_era(text, "test")
+        calls._observe_era(text, "test")
         assert calls.eras.newest == store.era
         again = await calls.feed("op", rows.position, 50)
         assert again.position == rows.position
 
-    play(script)
+    run(script)
 
 
-def test_answer_of_an_older_era_is_not_used():
+def test_answer_of_older_era_is_refused():
 
     async def script(store, calls):
         store.era = 3
@@ -165,4 +169,4 @@
         store.era = 3
         await calls.table("op")
 
-    play(script)
+    run(script)
