--- a/cardamommill/gateway/availablegroups.py
+++ b/cardamommill/gateway/availablegroups.py
@@ -1,22 +1,33 @@
-"""Which groups take requests, kept until the belief about them changes."""
+"""Determines which groups accept requests, cached per view of the fleet."""
 
 from collections.abc import Iterable
 import dataclasses
 
 from cardamommill.gateway import fleetview, model
 
-# A group that is silent here is left alone for this long, while its members
-# are asked; and for as long one that stands still though they answer.
+# A silent group is avoided for this long, while its members are probed.
 SUSPECT_AVOID_MS = 400.0
+# A group without progress, although its members answer, is avoided for this
+# long.
 STALLED_AVOID_MS = 1000.0
-# A dead runner's entry goes after three heartbeats without a word; the last may
-# have come just before, and one more is lost on the way.
+# A dead runner's entry expires three heartbeat intervals after its last
+# heartbeat. That one may have come just before the failure, and one interval is
+# added for delays on the way.
 EXPIRY_HEARTBEATS = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AvailableGroup:
-    """A group that takes requests."""
+    """A group that accepts requests.
+
+    Attributes:
+        key: The group's key.
+        model: The name of the model that it serves.
+        head: The runner that receives the group's requests.
+        pace: Factor on all durations, from the slowest member.
+        spans_domains: Whether the members are in more than one fabric domain.
+        has_leaving_member: Whether a member has announced that it is leaving.
+    """
 
     key: model.GroupKey
     model: str
@@ -27,21 +38,21 @@
 
 
 def confirmed_alarm_ms(heartbeat_ms: float, drain_ms: float) -> float:
-    """Returns for how long an alarm is heeded that found a member dead.
+    """Returns for how long a group with a dead member is avoided.
 
-    Until then the list still names a dead head as one that serves. Heeded for
-    4.5 s, with 3.6 s for the entry to go and 0.8 s or more to read of it, dead
-    groups got requests of all nodes a second time.
+    For this long the runner list may still name a dead head as serving. With
+    4.5 s, where the entry takes 3.6 s to expire and the node 0.8 s or more to
+    read the list, dead groups got requests of all nodes a second time.
 
     Args:
-        heartbeat_ms: How often runners tell of themselves.
-        drain_ms: By when this node acts on what the list says.
+        heartbeat_ms: Interval between the heartbeats of a runner.
+        drain_ms: Time within which this node acts on a change of the list.
     """
     return EXPIRY_HEARTBEATS * heartbeat_ms + drain_ms
 
 
 class AvailableGroups:
-    """The groups of each service that serve."""
+    """The groups of each service that accept requests."""
 
     def __init__(self, view: fleetview.FleetView) -> None:
         self._view = view
@@ -51,7 +62,7 @@
 
     def of_model(self, service: str,
                  model_name: str) -> Iterable[AvailableGroup]:
-        """Returns the standing groups of a model."""
+        """Returns the available groups of a model."""
         if self._version != self._view.version:
             self._version = self._view.version
             self._by_service = {}
@@ -66,16 +77,21 @@
         ]
 
     def avoid(self, key: model.GroupKey, until_ms: float) -> None:
-        """Has a group used only where no other stands."""
+        """Makes a group the last choice until some time.
+
+        Args:
+            key: The group's key.
+            until_ms: When to stop; a later time set before stays in force.
+        """
         self._avoid_until_ms[key] = max(until_ms,
                                         self._avoid_until_ms.get(key, 0.0))
 
     def stop_avoiding(self, key: model.GroupKey) -> None:
-        """Takes an alarm back."""
+        """Ends the avoidance of a group."""
         self._avoid_until_ms.pop(key, None)
 
     def is_avoided(self, key: model.GroupKey, now_ms: float) -> bool:
-        """Whether an alarm is still heeded."""
+        """Whether a group is avoided at the moment."""
         until_ms = self._avoid_until_ms.get(key)
         if until_ms is None:
             return False
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -1,4 +1,4 @@
-"""Finds each request its runner and keeps count of what is under way."""
+"""Assigns requests to runners and tracks the attempts in progress."""
 
 from collections.abc import Callable, Coroutine
 import dataclasses
@@ -37,19 +37,24 @@
     upstream,
 )
 
-# A group that failed a request is left alone until its members were asked.
+# A group that failed a request is avoided for this long, until its members have
+# been probed.
 FAULT_AVOID_MS = 300.0
-# A peer is asked for its confirmation once the own one is this old.
+# Beyond this age of its own confirmation of the configuration, this node also
+# uses the confirmations of its peers.
 OWN_CONFIRMATION_MS = 1500.0
 
-_WELL = frozenset({attempts.Result.ANSWERED, attempts.Result.STREAMED})
-_FINE = _WELL | {attempts.Result.ABANDONED}
+_SUCCEEDED = frozenset({attempts.Result.ANSWERED, attempts.Result.STREAMED})
+_NO_FAULT = _SUCCEEDED | {attempts.Result.ABANDONED}
 
 _LOG = logbook.Logger("requests")
 
 
 class Dispatcher:
-    """What requests need of their node; see `relay.RelayContext`."""
+    """Provides relays with targets and records the course of their attempts.
+
+    It implements `relay.RelayContext`.
+    """
 
     def __init__(self, settings: entrysettings.EntrySettings,
                  pool: upstream.Pool, view: fleetview.FleetView,
@@ -57,7 +62,20 @@
                  fresh: freshness.Freshness, others: peers.Peers,
                  figures: metrics.Metrics,
                  spawn: Callable[[Coroutine[Any, Any, None]], None]) -> None:
-        """Makes it; its owner sets `expected_recovery_ms` and the callbacks."""
+        """Initialises the instance without requests.
+
+        The owner sets `expected_recovery_ms`, `on_fault` and `on_refusal`.
+
+        Args:
+            settings: The settings of the node.
+            pool: Connections to runners.
+            view: The node's view of the fleet.
+            reader: Source of the configuration in force.
+            fresh: Age of the node's confirmation of the configuration.
+            others: The other nodes.
+            figures: Receives the metrics.
+            spawn: Runs a coroutine in the background until the node stops.
+        """
         self._settings = settings
         self.pool = pool
         self.spawn = spawn
@@ -81,32 +99,32 @@
         self.backpressure = backpressure.Backpressure(
             view, ratelimits.RateLimits(settings.node, others.live_nodes),
             figures)
-        # Requests whose try has brought nothing yet, and since when.
-        self._unproven_ms: dict[relay.Relay, float] = {}
-        # Who looks into a group that failed a request.
-        self.on_fault: Callable[[model.GroupKey, str], None] = _nobody
-        # Who looks into a group that refused one.
-        self.on_refusal: Callable[[model.GroupKey, str], None] = _nobody
-        # When a group that is missing should stand again.
-        self.expected_recovery_ms: Callable[[], float] = _soon
+        # When the current attempt was sent, for relays without an event of it.
+        self._unanswered_since_ms: dict[relay.Relay, float] = {}
+        # Called with a group that failed a request, and the reason.
+        self.on_fault: Callable[[model.GroupKey, str], None] = _ignore
+        # Called with a group that refused a request, and the reason.
+        self.on_refusal: Callable[[model.GroupKey, str], None] = _ignore
+        # Returns the estimated time until a missing group is available again.
+        self.expected_recovery_ms: Callable[[], float] = _default_recovery_ms
 
     def reload(self, settings: entrysettings.EntrySettings) -> None:
-        """Takes changed settings."""
+        """Applies changed settings."""
         self._settings = settings
         self._budgets = retrybudget.RetryBudgets(settings.bounds)
 
     def relays_at(self, key: model.GroupKey) -> list[relay.Relay]:
-        """Returns this node's requests at a group."""
+        """Returns the relays of this node's requests at a group."""
         return list(self._relays.get(key, ()))
 
     def update_from_peers(self, far_load: loadsums.Loads,
                           now_ms: float) -> None:
-        """Takes what peers told last of their load, and tells of doubts.
+        """Applies the load reports of peers and logs changes in reliability.
 
         Args:
-            far_load: What nodes of other data centres have, where they don't
-                tell it each for itself.
-            now_ms: The time.
+            far_load: The load of nodes in other data centres whose individual
+                reports do not reach this node.
+            now_ms: The current time.
         """
         self._group_loads.receive(self._peers.in_flight(now_ms), far_load,
                                   self._peers.load_age_ms())
@@ -120,7 +138,7 @@
                 self._metrics.count("runners_doubted_total")
 
     def loads(self) -> dict[model.GroupKey, inflight.GroupLoad]:
-        """Returns the requests of all nodes at each group that is known."""
+        """Returns the load of all nodes at every known group."""
         table = self._reader.table
         return {
             key: self._group_loads.load(key)
@@ -129,22 +147,22 @@
         }
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets old faults."""
+        """Drops records of faults that no longer matter."""
         self._plain_runners.drop_expired(now_ms)
         self.reliability.drop_expired(now_ms)
         self.backpressure.drop_expired(now_ms)
 
     def table(self) -> routetable.RouteTable | None:
-        """Returns the configuration in force."""
+        """Returns the route table in force, or None before the first one."""
         return self._reader.table
 
     def config_age_ms(self) -> float:
-        """Returns for how long a newer one may have been accepted."""
+        """Returns for how long a newer configuration may have existed."""
         self._confirm_by_peers()
         return self._freshness.age_ms(clock.now_ms())
 
     def keys_may_be_trusted(self) -> bool:
-        """Whether no key can have been taken away for too long."""
+        """Whether the view of the API keys is recent enough to rely on."""
         self._confirm_by_peers()
         return self._freshness.keys_may_be_trusted(clock.now_ms())
 
@@ -158,7 +176,7 @@
         self._freshness.confirm(min(as_of_ms, now_ms))
 
     def find_target(self, one: relay.Relay) -> relay.Target | placing.Refused:
-        """Returns where a request goes next."""
+        """Returns the target of a request's next attempt, or a refusal."""
         table = self._reader.table
         assert table is not None and one.route is not None
         refused = placing.Refused("no service",
@@ -235,32 +253,34 @@
                      service: model.Service) -> relay.Target | placing.Refused:
         now_ms = clock.now_ms()
         attempted = {each.known.runner.id for each in one.attempted}
-        usable = [
+        candidates = [
             each for each in self._view.runners_of(service.name)
             if each.is_usable and each.runner.id not in attempted
         ]
-        if not usable:
+        if not candidates:
             return placing.Refused("no runner",
                                    admitting.DEFAULT_RETRY_AFTER_MS)
         waits_ms = {
             each.runner.id: self.backpressure.wait_ms(each.runner, now_ms)
-            for each in usable
+            for each in candidates
         }
-        takers = [each for each in usable if not waits_ms[each.runner.id]]
-        if not takers:
+        accepting = [
+            each for each in candidates if not waits_ms[each.runner.id]
+        ]
+        if not accepting:
             return placing.backpressure_refusal(waits_ms.values(),
                                                 self._chance.random())
-        return relay.Target(self._plain_runners.choose(takers, now_ms))
+        return relay.Target(self._plain_runners.choose(accepting, now_ms))
 
     def may_retry(self, service: str) -> bool:
-        """Whether the retry budget allows one more."""
+        """Whether the retry budget of a service allows one more retry."""
         now_ms = clock.now_ms()
         nodes = self._peers.nodes(now_ms)
         return self._budgets.for_service(service).may_retry(nodes, now_ms)
 
     def on_attempt_start(self, one: relay.Relay, target: relay.Target,
                          repeat: bool) -> None:
-        """Notes a try."""
+        """Records the start of an attempt."""
         now_ms = clock.now_ms()
         budget = self._budgets.for_service(one.service)
         if repeat:
@@ -271,7 +291,7 @@
         runner_id = target.known.runner.id
         self._plain_runners.add_request(runner_id)
         self.backpressure.sent(one.attempt_id, runner_id, repeat, now_ms)
-        self._unproven_ms[one] = now_ms
+        self._unanswered_since_ms[one] = now_ms
         if target.key is None or target.placed is None:
             return
         self._relays.setdefault(target.key, {})[one] = None
@@ -283,24 +303,24 @@
 
     def on_answer_head(self, one: relay.Relay, target: relay.Target,
                        head: upstream.Head, sent_ms: float) -> None:
-        """Takes what a runner asks of its callers in an answer."""
+        """Passes the head of an answer on to the backpressure handling."""
         self.backpressure.receive_head(one.attempt_id, target.known.runner.id,
                                        head, sent_ms)
 
     def on_stream_event(self, one: relay.Relay, target: relay.Target) -> None:
-        """Notes an event of a stream."""
+        """Records an event of a stream."""
         now_ms = clock.now_ms()
-        sent_ms = self._unproven_ms.pop(one, None)
+        sent_ms = self._unanswered_since_ms.pop(one, None)
         if sent_ms is not None:
             self.reliability.succeeded(target.known.runner.id, now_ms)
-            self._note_first_event(one, target, now_ms - sent_ms)
+            self._record_first_event(one, target, now_ms - sent_ms)
         if target.key is None:
             return
         self.in_flight_requests.event(target.key, one.attempt_id)
         self.silence.event(target.key, one.attempt_id, now_ms)
 
-    def _note_first_event(self, one: relay.Relay, target: relay.Target,
-                          took_ms: float) -> None:
+    def _record_first_event(self, one: relay.Relay, target: relay.Target,
+                            took_ms: float) -> None:
         placed = target.placed
         if placed is not None and not placed.is_deferred:
             self.forecast.add_sample(one.service, took_ms,
@@ -308,7 +328,7 @@
 
     def on_attempt_end(self, one: relay.Relay, target: relay.Target,
                        outcome: attempts.Outcome) -> None:
-        """Notes the end of a try."""
+        """Records the end of an attempt."""
         runner_id = target.known.runner.id
         self._plain_runners.remove_request(runner_id)
         self._metrics.count("attempts_total",
@@ -321,19 +341,19 @@
                 self._relays.pop(target.key, None)
             self.in_flight_requests.remove_request(target.key, one.attempt_id)
             self.silence.ended(target.key, one.attempt_id)
-        self._note_ending(one, target, outcome)
+        self._record_outcome(one, target, outcome)
 
-    def _note_ending(self, one: relay.Relay, target: relay.Target,
-                     outcome: attempts.Outcome) -> None:
+    def _record_outcome(self, one: relay.Relay, target: relay.Target,
+                        outcome: attempts.Outcome) -> None:
         now_ms = clock.now_ms()
         runner = target.known.runner.id
-        sent_ms = self._unproven_ms.pop(one, None)
-        if outcome.result in _FINE:
-            if outcome.result in _WELL and sent_ms is not None:
+        sent_ms = self._unanswered_since_ms.pop(one, None)
+        if outcome.result in _NO_FAULT:
+            if outcome.result in _SUCCEEDED and sent_ms is not None:
                 self.reliability.succeeded(runner, now_ms)
             return
-        if sent_ms is not None and self._is_to_blame(one, target, outcome,
-                                                     now_ms - sent_ms):
+        if sent_ms is not None and self._is_runner_fault(
+                one, target, outcome, now_ms - sent_ms):
             self.reliability.failed(runner, forwarding.fingerprint(one.request),
                                     now_ms)
         _LOG.info(
@@ -351,21 +371,22 @@
             self._plain_runners.failed(runner, now_ms)
         if target.key is None:
             return
-        look_into = {
+        investigate = {
             attempts.Result.BROKEN: self.on_fault,
             attempts.Result.UNSENT: self.on_fault,
             attempts.Result.NOT_RUN: self.on_refusal,
         }.get(outcome.result)
-        if look_into is not None:
+        if investigate is not None:
             self.available_groups.avoid(target.key, now_ms + FAULT_AVOID_MS)
-            look_into(target.key, outcome.reason)
+            investigate(target.key, outcome.reason)
 
-    def _is_to_blame(self, one: relay.Relay, target: relay.Target,
-                     outcome: attempts.Outcome, took_ms: float) -> bool:
-        """Whether a try that brought nothing failed by the runner's own doing.
+    def _is_runner_fault(self, one: relay.Relay, target: relay.Target,
+                         outcome: attempts.Outcome, took_ms: float) -> bool:
+        """Whether an attempt without an event failed by the runner's fault.
 
-        One that waits at a group, or leaves it, doesn't say so: that happens at
-        high load, and where a member died whose head is soon well in another.
+        At a group, a timeout or a diversion does not count as a fault of the
+        head: both happen at high load, and when another member has died and the
+        head soon serves in a new group.
         """
         if outcome.result in (attempts.Result.FAILED, attempts.Result.BROKEN):
             return True
@@ -374,7 +395,7 @@
                 0 < one.route.goal_ms < took_ms)
 
     def ended(self, one: relay.Relay, status: int, reason: str) -> None:
-        """Notes the end of a request."""
+        """Records the end of a request in metrics and in the log."""
         now_ms = clock.now_ms()
         route = one.route.name if one.route is not None else ""
         self._metrics.count("requests_total", route=route, status=str(status))
@@ -390,9 +411,9 @@
                              now_ms))
 
 
-def _nobody(key: model.GroupKey, reason: str) -> None:
+def _ignore(key: model.GroupKey, reason: str) -> None:
     del key, reason
 
 
-def _soon() -> float:
+def _default_recovery_ms() -> float:
     return admitting.DEFAULT_RETRY_AFTER_MS
--- a/cardamommill/gateway/forecast.py
+++ b/cardamommill/gateway/forecast.py
@@ -1,38 +1,40 @@
-"""By how much first events come later than the engine's arithmetic says.
+"""Learns by how much first events are later than the engine's cost model says.
 
-What an engine publishes leaves out what a request takes before it is read and
-after its first token. Where that is a third of the objective, a queue that was
-thought short enough had all that waited in it come late.
+The cost model that an engine publishes leaves out the time before a prompt is
+processed and after the first token. Where that is a third of the latency
+objective, a queue looks short enough while all requests that wait in it miss
+their objective.
 """
 
 import collections
 
-# Of the last so many first events...
+# Number of recent first events that are considered.
 MAX_SAMPLES = 40
-# ... this part came sooner than by what all take longer; the rest had to wait
-# for others, of which nodes know too late.
+# This quantile of the deviations is taken as the overhead of every request.
+# Larger deviations include the wait for requests that this node learned of too
+# late.
 QUANTILE = 0.25
-# Fewer say nothing yet.
+# With fewer samples the overhead is assumed to be 0.
 MIN_SAMPLES = 6
 
 
 class Forecast:
-    """Compares first events with when they were expected, by service."""
+    """Estimates the overhead of each service's requests by first events."""
 
     def __init__(self) -> None:
-        self._later_ms: dict[str, collections.deque[float]] = {}
+        self._deviations_ms: dict[str, collections.deque[float]] = {}
         self._overhead_ms: dict[str, float] = {}
 
     def add_sample(self, service: str, took_ms: float,
                    expected_ms: float) -> None:
-        """Notes a first event.
+        """Records the time to a first event.
 
         Args:
-            service: Whose.
-            took_ms: From the sending of the request.
-            expected_ms: What the engine's arithmetic said.
+            service: The name of the service.
+            took_ms: Time from sending the request to its first event.
+            expected_ms: The same time by the engine's cost model.
         """
-        samples = self._later_ms.setdefault(
+        samples = self._deviations_ms.setdefault(
             service, collections.deque(maxlen=MAX_SAMPLES))
         samples.append(took_ms - expected_ms)
         if len(samples) >= MIN_SAMPLES:
@@ -41,5 +43,5 @@
                 0.0, ranked[int(QUANTILE * len(ranked))])
 
     def overhead_ms(self, service: str) -> float:
-        """Returns what every request of a service takes longer."""
+        """Returns the time that requests take beyond the cost model."""
         return self._overhead_ms.get(service, 0.0)
--- a/cardamommill/gateway/inflight.py
+++ b/cardamommill/gateway/inflight.py
@@ -1,4 +1,4 @@
-"""Which requests this node has at which groups, and what peers have there."""
+"""Tracks the in-flight requests of this node at each group."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """What is at a group.
+    """The number of requests at a group.
 
     Attributes:
-        requests: Those that run, or wait to be in time.
-        deferred: Those that wait behind all of these; they will be late.
-        pending_prompt_tokens: Prompt tokens of requests that wait to be in
-            time.
+        requests: Requests that run, or wait and can meet their objective.
+        deferred: Requests that wait behind these and will miss it.
+        pending_prompt_tokens: Prompt tokens not yet processed, without those of
+            deferred requests.
     """
 
     requests: int = 0
@@ -22,17 +22,17 @@
 
     @property
     def total_requests(self) -> int:
-        """All of them, late or not."""
+        """The number of all requests, including deferred ones."""
         return self.requests + self.deferred
 
     def plus(self, other: "GroupLoad") -> "GroupLoad":
-        """Returns the sum."""
+        """Returns the sum of two loads."""
         return GroupLoad(
             self.requests + other.requests, self.deferred + other.deferred,
             self.pending_prompt_tokens + other.pending_prompt_tokens)
 
     def minus(self, other: "GroupLoad") -> "GroupLoad":
-        """Returns the difference."""
+        """Returns the difference of two loads."""
         return GroupLoad(
             self.requests - other.requests, self.deferred - other.deferred,
             self.pending_prompt_tokens - other.pending_prompt_tokens)
@@ -42,32 +42,32 @@
 class _InFlightRequest:
     prompt_tokens: int
     is_deferred: bool
-    begun: bool = False
+    has_started: bool = False
 
 
 NO_LOAD = GroupLoad()
 
 
 class InFlightRequests:
-    """Counts this node's requests at groups."""
+    """Tracks this node's in-flight requests by group."""
 
     def __init__(self) -> None:
         self._groups: dict[model.GroupKey, dict[str, _InFlightRequest]] = {}
 
     def add_request(self, key: model.GroupKey, request: str, prompt_tokens: int,
                     is_deferred: bool) -> None:
-        """Notes a request that is sent to a group."""
+        """Adds a request that is sent to a group."""
         self._groups.setdefault(key, {})[request] = _InFlightRequest(
             prompt_tokens, is_deferred)
 
     def event(self, key: model.GroupKey, request: str) -> None:
-        """Notes that a request runs: its prompt has been read."""
+        """Records an event of a request: its prompt has been processed."""
         entry = self._groups.get(key, {}).get(request)
         if entry is not None:
-            entry.begun = True
+            entry.has_started = True
 
     def remove_request(self, key: model.GroupKey, request: str) -> None:
-        """Notes that a request is no longer at a group."""
+        """Removes a request that is no longer at a group."""
         requests = self._groups.get(key)
         if requests is None:
             return
@@ -76,19 +76,19 @@
             del self._groups[key]
 
     def load(self, key: model.GroupKey) -> GroupLoad:
-        """Returns what this node has at a group."""
+        """Returns the load of this node at a group."""
         requests = self._groups.get(key)
         if not requests:
             return NO_LOAD
         counted = [
             each for each in requests.values()
-            if each.begun or not each.is_deferred
+            if each.has_started or not each.is_deferred
         ]
         return GroupLoad(
             len(counted),
             len(requests) - len(counted),
-            sum(each.prompt_tokens for each in counted if not each.begun))
+            sum(each.prompt_tokens for each in counted if not each.has_started))
 
     def loads(self) -> dict[model.GroupKey, GroupLoad]:
-        """Returns what this node has at all groups."""
+        """Returns the load of this node at every group."""
         return {key: self.load(key) for key in self._groups}
--- a/cardamommill/gateway/placing.py
+++ b/cardamommill/gateway/placing.py
@@ -1,56 +1,63 @@
-"""Chooses the group or runner of a request, or refuses it."""
+"""Chooses the group that serves a request, or refuses the request."""
 
 from collections.abc import Callable, Iterable
 import dataclasses
 
 from cardamommill.gateway import model, reliability, silence
 
-# Requests that wait at a group though they will be late, as a part of its
-# places: more would not be served before their callers leave.
+# Maximum number of deferred requests at a group, as a fraction of its places:
+# more would not be served before their callers leave.
 PATIENT_PART = 0.5
-# A group that somebody found silent is used only where no other stands.
+# A suspect group is used only where no other group is available.
 AVOIDED_COST_MS = 100_000.0
-# What a try that fails costs: about a request's objective, since the next one
-# begins later, meets a runner that was second choice, and uses up repeats.
+# Cost of a failed attempt: about a request's latency objective, since the next
+# attempt starts later, goes to a second-choice runner, and uses up the retry
+# budget.
 FAILURE_COST_MS = 300.0
-# What going to another data centre costs beyond its delay: bytes are dear.
+# Cost of using another data centre beyond the delay: traffic between data
+# centres is expensive.
 REMOTE_COST_MS = 6.0
-# What a new connection costs: a round trip, a handshake at the head, and one of
-# the connections that it takes. Less than a forecast is uncertain by, so it
-# decides between groups that are as good.
+# Cost of a new connection: a round trip, a handshake at the head, and one of
+# the head's limited connections. It is smaller than the error of a latency
+# estimate, so it decides only between groups that are about equally good.
 NEW_CONNECTION_COST_MS = 8.0
-# A request in flight counts as this part of the reading of its prompt, also
-# once that is done: it holds a place.
+# Cost of each in-flight request, as a fraction of the time to process its
+# prompt. It applies after the prompt is processed too, since the request still
+# holds a place.
 IN_FLIGHT_WEIGHT = 0.25
-# Where no group stands callers come back when one should, within these: sooner
-# none is open, and later many have left.
+# Bounds of the retry delay when no group is available: before the minimum no
+# group opens, and after the maximum many callers have left.
 MIN_RETRY_AFTER_MS = 120.0
 MAX_RETRY_AFTER_MS = 1500.0
-# Where all groups are full, at least about what a request takes, and at most
-# what callers wait of the time that they have left.
+# Bounds of the retry delay when all groups are full: at least about the
+# duration of a request, and at most the part of their remaining time that
+# callers wait.
 MIN_FULL_RETRY_AFTER_MS = 500.0
 MAX_FULL_RETRY_AFTER_MS = 2600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A standing group, and what is known of its load.
+    """An available group with its current load.
 
     Attributes:
-        key: The formation.
-        head: The id of its head.
-        in_flight: Requests of all nodes at it, without the patient ones.
-        places: Requests that it runs at once.
-        pace: Factor on all times, of its model and of slow members.
-        is_remote: Whether it is in another data centre.
-        is_avoided: Whether somebody found it silent a moment ago, or doubts it.
-        pending_prompt_tokens: Prompt tokens that were sent to it and not yet
-            read.
-        deferred: Requests that wait behind those that can be in time.
-        fail_odds: How likely its head fails the next try.
-        is_cooling_down: Whether its head failed a moment ago.
-        wait_ms: How long its head takes nothing more of this node.
-        has_idle_connection: Whether a kept connection to its head stands idle.
+        key: The group's key.
+        head: The id of the runner that is the group's head.
+        in_flight: Number of requests of all nodes, without deferred ones.
+        places: Maximum number of requests that run concurrently.
+        pace: Factor on all durations, from the model and from slow members.
+        is_remote: Whether the group is in another data centre.
+        is_avoided: Whether the group was recently found silent, has a leaving
+            member, or has a head that is likely to fail.
+        pending_prompt_tokens: Prompt tokens sent to the group and not yet
+            processed.
+        deferred: Number of requests queued behind those that can still meet
+            their objective.
+        fail_odds: Probability that the head fails the next attempt.
+        is_cooling_down: Whether the head failed very recently.
+        wait_ms: Time until the head accepts another request of this node.
+        has_idle_connection: Whether the pool has an idle connection to the
+            head.
     """
 
     key: model.GroupKey
@@ -69,13 +76,13 @@
 
     @property
     def is_doubted(self) -> bool:
-        """Whether it is likely to fail what it gets."""
+        """Whether the head is likely to fail the next attempt."""
         return self.fail_odds > reliability.DOUBT_THRESHOLD
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TokenCounts:
-    """What a request asks of an engine."""
+    """Prompt length of a request and expected length of its answer."""
 
     prompt_tokens: int
     answer_tokens: int
@@ -83,13 +90,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed:
-    """Where a request goes, and when its first event should come.
+    """The group chosen for a request, with the estimated latency.
 
     Attributes:
-        expected: What the group should do with it.
-        finish_ms: When its last event should come.
-        overhead_ms: What of that the engine's arithmetic leaves out.
-        is_deferred: Whether it waits behind all that can be in time.
+        candidate: The chosen group.
+        expected: Estimated timing of the request at the group.
+        finish_ms: Estimated time until the last event.
+        overhead_ms: The part of the estimate that the engine's cost model
+            leaves out.
+        is_deferred: Whether the request queues behind those that can still
+            meet their objective.
     """
 
     candidate: Candidate
@@ -100,20 +110,20 @@
 
     @property
     def first_event_ms(self) -> float:
-        """When its first event should come."""
+        """Estimated time until the first event."""
         return self.expected.first_event_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Why a request goes nowhere, and when to come back."""
+    """The reason why a request was not placed, and when to retry."""
 
     reason: str
     retry_after_ms: float
 
 
 def pass_ms(engine: model.Engine, running: int, pace: float) -> float:
-    """Returns what one pass of a group takes while it reads nothing."""
+    """Returns the duration of a pass that processes no prompts."""
     context = engine.usual_prompt_tokens + engine.usual_answer_tokens / 2
     step_ms = engine.step_ms + running * (
         engine.per_sequence_ms + engine.context_per_k_ms * context / 1000)
@@ -121,13 +131,13 @@
 
 
 def max_pass_ms(engine: model.Engine, pace: float) -> float:
-    """Returns what a pass takes in which each step reads what it may."""
+    """Returns the duration of a pass with full prompt chunks in each step."""
     prefill_time_ms = prefill_ms(engine, engine.chunk_tokens, pace)
     return pass_ms(engine, engine.slots, pace) + engine.stride * prefill_time_ms
 
 
 def prefill_ms(engine: model.Engine, tokens: float, pace: float) -> float:
-    """Returns what reading a prompt takes."""
+    """Returns the time to process a prompt."""
     pairs_m = tokens * tokens / 2 / 1e6
     return (tokens / engine.read_tokens_per_ms +
             pairs_m * engine.pairs_per_m_ms) * pace
@@ -135,19 +145,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Requirements:
-    """What a request needs to be of use.
+    """The time limits of a request, and corrections to the estimates.
 
     Attributes:
-        goal_ms: In time if its first event comes within this from now.
-        max_wait_ms: How long it may wait where it can't be in time.
-        remaining_ms: Until when it must be whole.
-        jitter: From 0 to 1, different for each request: those that are told
-            to come back do not come all at once, and those that are placed at
-            the same time do not go all to one group.
-        unreported_requests: Requests that other nodes have placed since they
-            told of their loads.
-        overhead_ms: What every request takes longer than the engine's
-            arithmetic says.
+        goal_ms: Time left for the first event to meet the latency objective.
+        max_wait_ms: Maximum time to the first event if the objective can't be
+            met.
+        remaining_ms: Time left until the deadline of the whole answer.
+        jitter: Random number from 0 to 1 for each request. It spreads the
+            retries of refused requests over time, and simultaneous requests
+            over groups.
+        unreported_requests: Estimated number of requests that other nodes have
+            placed since they last reported their load.
+        overhead_ms: Time that every request takes beyond the engine's cost
+            model.
     """
 
     goal_ms: float
@@ -160,85 +171,88 @@
 
 def unreported_requests(engine: model.Engine, pace: float, requests: float,
                         age_ms: float) -> float:
-    """Returns how many requests came since loads of some age were told.
+    """Returns how many requests arrived since the load was reported.
 
-    As many come as end while the load stays what it is.
+    At a constant load, as many requests arrive as end.
 
     Args:
-        engine: Its arithmetic.
-        pace: Of the model.
-        requests: Those that were told.
-        age_ms: How long ago they were told.
+        engine: The engine's cost model.
+        pace: Factor on all durations, from the model.
+        requests: The reported number of requests.
+        age_ms: Age of the report.
     """
     passes = max(1.0, engine.usual_answer_tokens / engine.stride)
-    lasts_ms = passes * pass_ms(engine, engine.slots // 2, pace)
-    return requests * age_ms / lasts_ms
+    duration_ms = passes * pass_ms(engine, engine.slots // 2, pace)
+    return requests * age_ms / duration_ms
 
 
 def place(engine: model.Engine, token_counts: TokenCounts,
           candidates: Iterable[Candidate], excluded: frozenset[model.GroupKey],
           requirements: Requirements, form_ms: float) -> Placed | Refused:
-    """Returns where a request goes.
+    """Chooses a group for a request, or refuses the request.
 
-    One that can be in time goes where it will be first. One that can't waits
-    behind all that can, in a short queue: with all in one queue, demand above
-    the capacity makes nearly every request late.
+    A request that can meet its objective goes to a group with a low cost, which
+    is mainly the estimated time to the first event. Any other request is
+    deferred: it waits in a short queue behind those that can. With a single
+    queue, demand above the capacity makes nearly every request late.
 
-    A group that can't finish it by its deadline comes last: long answers were
-    sent to slow groups for their first event, and hardly one became whole.
+    Groups that can't finish the request by its deadline are used last. Chosen
+    by the first event alone, slow groups got long answers and hardly one was
+    completed.
 
-    One whose head is likely to fail it gets it only where no other takes it,
-    not even to wait: a head that fails at once is always the least loaded. And
-    it rests a moment after each failure: where all others were full, it got as
-    many requests as they did, and used up the repeats of all.
+    A group whose head is likely to fail is used only if no other group accepts
+    the request, not even as deferred: a head that fails immediately always has
+    the lowest load. It also cools down after each failure. Otherwise, while all
+    other groups were full, it got as many requests as they did and used up the
+    retries of all.
 
     Args:
-        engine: Its arithmetic.
-        token_counts: What the request asks.
-        candidates: The groups of its model that stand.
-        excluded: Those that it was at already.
-        requirements: What it needs.
-        form_ms: When a missing group should stand again.
+        engine: The engine's cost model.
+        token_counts: Prompt and answer length of the request.
+        candidates: The available groups of the request's model.
+        excluded: Groups that the request was already sent to.
+        requirements: Time limits of the request.
+        form_ms: Estimated time until a missing group is available again.
     """
     available = [each for each in candidates if each.key not in excluded]
-    takers = [each for each in available if not each.wait_ms]
-    if available and not takers:
+    accepting = [each for each in available if not each.wait_ms]
+    if available and not accepting:
         return backpressure_refusal((each.wait_ms for each in available),
                                     requirements.jitter)
     placed = [
-        _expect(engine, token_counts, each, requirements.overhead_ms)
-        for each in takers
+        _estimate(engine, token_counts, each, requirements.overhead_ms)
+        for each in accepting
     ]
-    sound = [each for each in placed if not each.candidate.is_doubted]
+    trusted = [each for each in placed if not each.candidate.is_doubted]
     doubted = [
         each for each in placed if each.candidate.is_doubted and
-        not (sound and each.candidate.is_cooling_down)
+        not (trusted and each.candidate.is_cooling_down)
     ]
-    chosen = _best(engine, sound, requirements) or _best(
+    chosen = _best_placement(engine, trusted, requirements) or _best_placement(
         engine, doubted, requirements)
     if chosen is not None:
         return chosen
     if placed:
         return Refused("all groups are full",
-                       _worked_off_ms(sound or placed, requirements))
+                       _queue_drained_ms(trusted or placed, requirements))
     wait_ms = min(max(form_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
     return Refused("no group stands", wait_ms * (1 + requirements.jitter / 4))
 
 
 def backpressure_refusal(waits_ms: Iterable[float], jitter: float) -> Refused:
-    """Returns the refusal where no runner takes a request of this node now.
+    """Returns the refusal for when no runner accepts requests at the moment.
 
     Args:
-        waits_ms: How long each takes none.
-        jitter: From 0 to 1, so that callers do not come back all at once.
+        waits_ms: Time until each runner accepts a request of this node again.
+        jitter: Random number from 0 to 1 that spreads the callers' retries.
     """
     wait_ms = max(MIN_RETRY_AFTER_MS, min(waits_ms))
     return Refused("no runner takes more now",
                    min(MAX_FULL_RETRY_AFTER_MS, wait_ms * (1 + jitter)))
 
 
-def _best(engine: model.Engine, placed: list[Placed],
-          requirements: Requirements) -> Placed | None:
+def _best_placement(engine: model.Engine, placed: list[Placed],
+                    requirements: Requirements) -> Placed | None:
     in_time = [
         each for each in placed if each.first_event_ms <= requirements.goal_ms
     ]
@@ -247,10 +261,10 @@
         if each.candidate.deferred < PATIENT_PART * each.candidate.places and
         each.first_event_ms <= requirements.max_wait_ms
     ]
-    for wanted in (_finishing(requirements), _any):
+    for wanted in (_finishes_in_time(requirements), _any_group):
         chosen = [each for each in in_time if wanted(each)]
         if chosen:
-            return _share_out(chosen, engine, requirements)
+            return _water_fill(chosen, engine, requirements)
         chosen = [each for each in deferred if wanted(each)]
         if chosen:
             return dataclasses.replace(min(chosen, key=_deferred_cost),
@@ -258,48 +272,50 @@
     return None
 
 
-def _share_out(placed: list[Placed], engine: model.Engine,
-               requirements: Requirements) -> Placed:
-    """Returns a group, so that all nodes together level their costs.
+def _water_fill(placed: list[Placed], engine: model.Engine,
+                requirements: Requirements) -> Placed:
+    """Draws a group so that all nodes together equalise the groups' costs.
 
-    Loads of other nodes are some heartbeats old. By the lowest cost alone all
-    nodes send what comes meanwhile to the same group, which is then the fullest
-    of all. So the unreported requests are thought of as poured over the
-    groups up to one level of cost, and a request goes to a group with the
-    odds of its part. Where nothing is unreported the group with the lowest
-    cost has all.
+    The reported loads of other nodes are some heartbeats old. If every node
+    took the group with the lowest cost, all requests of that time would go to
+    the same group, which would then be the fullest. Instead, the unreported
+    requests are distributed by water-filling: groups are filled up to a common
+    cost, and the request goes to each group with a probability proportional to
+    that group's share. With no unreported requests, the group with the lowest
+    cost is chosen.
     """
-    usual_ms = prefill_ms(engine, engine.usual_prompt_tokens, 1.0)
+    usual_prefill_ms = prefill_ms(engine, engine.usual_prompt_tokens, 1.0)
 
     def cost_ms(each: Placed) -> float:
-        held_ms = IN_FLIGHT_WEIGHT * usual_ms * each.candidate.pace
-        return _cost_ms(each) + held_ms * each.candidate.in_flight
+        request_ms = IN_FLIGHT_WEIGHT * usual_prefill_ms * each.candidate.pace
+        return _cost_ms(each) + request_ms * each.candidate.in_flight
 
     ranked = sorted(placed, key=cost_ms)
     costs_ms = [cost_ms(each) for each in ranked]
-    steps_ms = [(1 + IN_FLIGHT_WEIGHT) * usual_ms * each.candidate.pace
+    steps_ms = [(1 + IN_FLIGHT_WEIGHT) * usual_prefill_ms * each.candidate.pace
                 for each in ranked]
-    level_ms = _level_ms(costs_ms, steps_ms, requirements.unreported_requests)
-    parts = [
+    level_ms = _water_level_ms(costs_ms, steps_ms,
+                               requirements.unreported_requests)
+    shares = [
         max(0.0, level_ms - each_ms) / step_ms
         for each_ms, step_ms in zip(costs_ms, steps_ms, strict=True)
     ]
-    left = requirements.jitter * sum(parts)
-    for each, part in zip(ranked, parts, strict=True):
-        left -= part
-        if left < 0:
+    remainder = requirements.jitter * sum(shares)
+    for each, share in zip(ranked, shares, strict=True):
+        remainder -= share
+        if remainder < 0:
             return each
     return ranked[0]
 
 
-def _level_ms(costs_ms: list[float], steps_ms: list[float],
-              requests: float) -> float:
-    """Returns the cost up to which groups are filled by some requests.
+def _water_level_ms(costs_ms: list[float], steps_ms: list[float],
+                    requests: float) -> float:
+    """Returns the common cost after distributing requests by water-filling.
 
     Args:
-        costs_ms: Of each group, the lowest first.
-        steps_ms: By how much a request raises the cost of each.
-        requests: How many are shared out.
+        costs_ms: The cost of each group, in ascending order.
+        steps_ms: The increase of each group's cost per request.
+        requests: The number of requests to distribute.
     """
     rate = weighted = 0.0
     level_ms = costs_ms[0]
@@ -312,23 +328,24 @@
     return level_ms
 
 
-def _worked_off_ms(placed: list[Placed], requirements: Requirements) -> float:
-    """Returns when the shortest queue of now should have been worked off.
+def _queue_drained_ms(placed: list[Placed],
+                      requirements: Requirements) -> float:
+    """Returns the time until the currently shortest queue should be drained.
 
-    Told to come back after 0.5 to 1 s, while a queue takes 1.3 s and more,
-    callers came back to be refused once more, and most try only twice.
+    With retry delays of 0.5 to 1 s, while a queue takes 1.3 s or more to drain,
+    callers were refused again on their retry, and most try only twice.
     """
-    soonest_ms = min(each.first_event_ms for each in placed)
+    earliest_ms = min(each.first_event_ms for each in placed)
     wait_ms = max(MIN_FULL_RETRY_AFTER_MS,
-                  soonest_ms - max(0.0, requirements.goal_ms))
+                  earliest_ms - max(0.0, requirements.goal_ms))
     return min(MAX_FULL_RETRY_AFTER_MS, wait_ms * (1 + requirements.jitter))
 
 
-def _finishing(requirements: Requirements) -> Callable[[Placed], bool]:
+def _finishes_in_time(requirements: Requirements) -> Callable[[Placed], bool]:
     return lambda placed: placed.finish_ms <= requirements.remaining_ms
 
 
-def _any(placed: Placed) -> bool:
+def _any_group(placed: Placed) -> bool:
     del placed
     return True
 
@@ -347,19 +364,20 @@
             candidate.pace / candidate.places + candidate.fail_odds)
 
 
-def _expect(engine: model.Engine, counts: TokenCounts, candidate: Candidate,
-            overhead_ms: float) -> Placed:
+def _estimate(engine: model.Engine, counts: TokenCounts, candidate: Candidate,
+              overhead_ms: float) -> Placed:
     running = min(candidate.in_flight, candidate.places)
     one_pass_ms = pass_ms(engine, running + 1, candidate.pace)
     own_prefill_ms = prefill_ms(engine, counts.prompt_tokens, candidate.pace)
     others_ms = candidate.pending_prompt_tokens / engine.read_tokens_per_ms * (
         candidate.pace)
-    waiting = candidate.in_flight - candidate.places + 1
+    queued = candidate.in_flight - candidate.places + 1
     queue_ms = 0.0
-    if waiting > 0:
+    if queued > 0:
         passes = engine.usual_answer_tokens / engine.stride
-        queue_ms = waiting * passes * one_pass_ms / candidate.places
-    # On average half a pass is under way, and one more brings the event.
+        queue_ms = queued * passes * one_pass_ms / candidate.places
+    # On average the request waits for half of the current pass, and the next
+    # pass produces its first event.
     first_ms = (overhead_ms + 1.5 * one_pass_ms + own_prefill_ms + others_ms +
                 queue_ms)
     finish_ms = first_ms + counts.answer_tokens / engine.stride * _mean_pass_ms(
@@ -371,8 +389,8 @@
 
 
 def _mean_pass_ms(engine: model.Engine, running: int, pace: float) -> float:
-    # Each that runs has come with a prompt, whose reading holds the others up:
-    # 58 ms between events where a pass alone takes 45.
+    # Processing the prompt of each running request delays the others: events
+    # came every 58 ms where a pass alone takes 45 ms.
     passes = max(1.0, engine.usual_answer_tokens / engine.stride)
     prefill_time_ms = running * prefill_ms(engine, engine.usual_prompt_tokens,
                                            pace)
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -1,65 +1,71 @@
-"""Which runner of a plain service gets a request, by this node's own tries."""
+"""Chooses the runner of a service that has no groups."""
 
 from collections.abc import Iterable
 import random
 
 from cardamommill.gateway import clock, fleetview, reliability
 
-# A runner that gave no answer of its own, or refused a request, comes last for
-# this long. Failures that it told come with the request more often than not.
+# A runner that gave no answer, or refused a request, is the last choice for
+# this long. A runner that answers with a failure is exempt: such failures are
+# mostly caused by the request.
 FAULT_PENALTY_MS = 1000.0
-# How likely a runner fails counts like two requests in flight a step.
+# Weight of the failure probability, in steps of two in-flight requests.
 FAILURE_WEIGHT = 4
 
 
 class PlainRunners:
-    """This node's requests at runners, and which of these failed of late."""
+    """Tracks this node's in-flight requests and recent faults per runner."""
 
-    def __init__(self, tries: reliability.Reliability, data_centre: str,
-                 chance: random.Random) -> None:
-        """Makes it.
+    def __init__(self, runner_reliability: reliability.Reliability,
+                 data_centre: str, chance: random.Random) -> None:
+        """Initialises the instance without requests or faults.
 
         Args:
-            tries: How likely runners fail.
-            data_centre: Whose runners are preferred.
-            chance: Decides between equals.
+            runner_reliability: Source of the runners' failure probabilities.
+            data_centre: The data centre whose runners are preferred.
+            chance: Breaks ties between equally good runners.
         """
-        self._tries = tries
+        self._reliability = runner_reliability
         self._data_centre = data_centre
         self._chance = chance
         self._in_flight: dict[str, int] = {}
         self._faults_ms: dict[str, float] = {}
 
     def add_request(self, runner: str) -> None:
-        """Notes a request that is sent to a runner."""
+        """Counts a request that is sent to a runner."""
         self._in_flight[runner] = self._in_flight.get(runner, 0) + 1
 
     def remove_request(self, runner: str) -> None:
-        """Notes the end of one."""
-        left = self._in_flight.get(runner, 1) - 1
-        if left > 0:
-            self._in_flight[runner] = left
+        """Removes a request that is no longer at a runner."""
+        remaining = self._in_flight.get(runner, 1) - 1
+        if remaining > 0:
+            self._in_flight[runner] = remaining
         else:
             self._in_flight.pop(runner, None)
 
     def failed(self, runner: str, now_ms: float) -> None:
-        """Notes that a runner gave no answer of its own, or refused."""
+        """Records that a runner gave no answer, or refused a request."""
         self._faults_ms[runner] = now_ms
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forgets old faults."""
+        """Drops faults that no longer matter."""
         clock.drop_expired(self._faults_ms, float, 10 * FAULT_PENALTY_MS,
                            now_ms)
 
-    def choose(self, usable: Iterable[fleetview.RunnerRecord],
+    def choose(self, candidates: Iterable[fleetview.RunnerRecord],
                now_ms: float) -> fleetview.RunnerRecord:
-        """Returns the runner that should get the next request."""
+        """Returns the runner that should get the next request.
+
+        Args:
+            candidates: Runners that may get it; at least one.
+            now_ms: The current time.
+        """
 
         def cost(
                 known: fleetview.RunnerRecord) -> tuple[bool, int, bool, float]:
             runner = known.runner
             fault_ms = self._faults_ms.get(runner.id, float("-inf"))
-            odds = self._tries.fail_odds(runner.id, now_ms)
+            odds = self._reliability.fail_odds(runner.id, now_ms)
             is_last = (now_ms - fault_ms < FAULT_PENALTY_MS or
                        odds > reliability.DOUBT_THRESHOLD)
             load = self._in_flight.get(runner.id, 0) // 2
@@ -67,4 +73,4 @@
                     runner.data_centre
                     != self._data_centre, self._chance.random())
 
-        return min(usable, key=cost)
+        return min(candidates, key=cost)
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way: admitted, placed, tried, answered."""
+"""Relays one request of a caller: admission, placement, attempts, answer."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -28,16 +28,19 @@
 )
 from cardamommill.platform import words
 
-# Tries at runners that refuse or can't be reached; a refusal costs a caller
-# some ms, and the budget bounds their sum.
+# Maximum number of attempts per request, including those that were refused or
+# did not reach the runner. A refusal costs a caller only some ms, and the retry
+# budget limits the total.
 MAX_TOTAL_ATTEMPTS = 4
-# An answer that is not a stream is tried elsewhere only with this much left.
+# Another attempt needs at least this much time before the deadline.
 MIN_REMAINING_MS = 20.0
-# How long a stream that has begun waits for a group to go on at: callers
-# leave after a pause of two seconds.
+# How long a started stream waits for a group to continue at: callers leave
+# after a pause of two seconds.
 RESUME_WAIT_MS = 1500.0
+# Interval of the search for that group.
 RESUME_POLL_MS = 40.0
-# Callers leave after two seconds without an event.
+# Maximum wait for the first event: callers leave after two seconds without an
+# event.
 PATIENCE_MS = 1600.0
 
 _LOG = logbook.Logger("requests")
@@ -45,7 +48,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A runner to try, and its group if it has one."""
+    """The target of an attempt.
+
+    Attributes:
+        known: The runner that gets the request.
+        key: The key of the runner's group; None if it serves without a group.
+        placed: The placement at the group; None without a group.
+    """
 
     known: fleetview.RunnerRecord
     key: model.GroupKey | None = None
@@ -53,45 +62,62 @@
 
     @property
     def name(self) -> str:
-        """For the log."""
+        """The name of the target in the log."""
         return str(self.key) if self.key else self.known.runner.id
 
 
 class RelayContext(admitting.ConfigurationState, Protocol):
-    """What a relay needs of its node."""
+    """The services that a relay uses of its node."""
 
     pool: upstream.Pool
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs something beside all else until the node ends."""
+        """Runs a coroutine in the background until the node stops."""
 
     def find_target(self, relay: "Relay") -> Target | placing.Refused:
-        """Returns where a request goes next."""
+        """Returns the target of a request's next attempt, or a refusal."""
 
     def may_retry(self, service: str) -> bool:
-        """Whether the retry budget allows one more."""
+        """Whether the retry budget of a service allows one more retry."""
 
     def on_attempt_start(self, relay: "Relay", target: Target,
                          repeat: bool) -> None:
-        """Notes a try."""
+        """Records the start of an attempt."""
 
     def on_attempt_end(self, relay: "Relay", target: Target,
                        outcome: attempts.Outcome) -> None:
-        """Notes the end of a try."""
+        """Records the end of an attempt."""
 
     def on_answer_head(self, relay: "Relay", target: Target,
                        head: upstream.Head, sent_ms: float) -> None:
-        """Notes the head of an answer to a try that was sent then."""
+        """Records the head of an answer to an attempt sent at `sent_ms`."""
 
     def on_stream_event(self, relay: "Relay", target: Target) -> None:
-        """Notes an event of a stream."""
+        """Records an event of a stream."""
 
     def ended(self, relay: "Relay", status: int, reason: str) -> None:
-        """Notes the end of a request."""
+        """Records the end of a request; status 0 means no complete answer."""
 
 
 class Relay:
-    """One request of a caller."""
+    """One request of a caller, from its admission to the end of its answer.
+
+    Attributes:
+        request: The request.
+        reply: The answer to the caller.
+        attempt_id: The id that the caller gave the request.
+        route: The route of the request, once it is known.
+        tenant: The holder of the API key; None where no key is needed.
+        service: The name of the service of the last placement.
+        token_counts: Prompt length and expected length of the answer.
+        model_name: The name of the requested model; empty for none.
+        attempted: The targets of all attempts so far.
+        may_have_run_at: Those of them that may have run the request.
+        deadline_at_ms: When the request times out.
+        progress: The part of a stream that the caller has received.
+        first_event_ms: When the first event was passed on; 0 before that.
+        is_abandoned: Whether the caller has left.
+    """
 
     def __init__(self, node: RelayContext, request: callers.CallerRequest,
                  reply: replies.Reply) -> None:
@@ -107,11 +133,13 @@
         self.model_name = request.get(words.MODEL) or ""
         self.attempted: list[Target] = []
         self.may_have_run_at: list[Target] = []
-        # Those of them that count as runs: a stream runs from its first token.
-        self._counted_at: list[Target] = []
-        self._try_sent_ms = 0.0
-        # Whether the group that the try is at lost a member.
-        self._is_dead = False
+        # Those of them that count towards the route's limit on attempts. A
+        # stream that was diverted from a group with a lost member counts only
+        # if it gave an event.
+        self._counted_targets: list[Target] = []
+        self._attempt_sent_ms = 0.0
+        # Whether the group of the current attempt has lost a member.
+        self._has_lost_member = False
         self.deadline_at_ms = math.inf
         self.progress = streamprogress.StreamProgress(
             httpheaders.number(request.get(words.LAST_EVENT_ID)))
@@ -120,15 +148,19 @@
         self._target: Target | None = None
         self._conclusion = conclusion.Conclusion(
             reply, lambda status, reason: node.ended(self, status, reason))
-        # Where a try goes on that is about to be left.
-        self._reserved: Target | None = None
-        self._leaving: asyncio.TimerHandle | None = None
+        # The target that a diverted attempt continues at.
+        self._reserved_target: Target | None = None
+        self._divert_timer: asyncio.TimerHandle | None = None
         self.is_abandoned = False
 
     # Admission.
 
     def admit(self) -> bool:
-        """Admits the request or answers it; True where it goes on."""
+        """Admits the request or answers it with a rejection.
+
+        Returns:
+            Whether the request was admitted.
+        """
         found = admitting.admit(self._node, self.request)
         self.route = found.route
         if isinstance(found, admitting.Rejection):
@@ -141,7 +173,7 @@
         return True
 
     def is_key_valid(self) -> bool:
-        """Whether the key may be used at this moment."""
+        """Whether the API key is valid at the moment."""
         return self.tenant is None or (self._key_is_known() and
                                        self._node.keys_may_be_trusted())
 
@@ -152,12 +184,12 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any try may have run it."""
+        """Whether any attempt may have run the request."""
         return bool(self.may_have_run_at)
 
     @property
     def priority(self) -> int:
-        """The rank for the runner's queue: 0 is first."""
+        """The priority in the runner's queue, from 0 for the first to 9."""
         rank = None if self.tenant is None else self.tenant.priority
         if rank is None:
             rank = self.route.priority if self.route else 5
@@ -165,12 +197,16 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return (self.route is not None and
                 self.route.kind is model.RouteKind.STREAMING)
 
     def requirements(self, jitter: float) -> placing.Requirements:
-        """Returns what the request needs to be of use, as of now."""
+        """Returns the current time limits of the request.
+
+        Args:
+            jitter: Random number from 0 to 1; see `placing.Requirements`.
+        """
         now_ms = clock.now_ms()
         remaining_ms = self.deadline_at_ms - now_ms
         if self.reply.started or self.route is None or not self.route.goal_ms:
@@ -180,53 +216,57 @@
         return placing.Requirements(goal_ms, min(remaining_ms, PATIENCE_MS),
                                     remaining_ms, jitter)
 
-    # The way.
+    # Attempts.
 
     def start(self) -> None:
-        """Serves the request in a task of its own."""
-        self._node.spawn(self._serve_and_tell())
+        """Serves the request in a separate task."""
+        self._node.spawn(self._serve_logged())
 
     def caller_left(self) -> None:
-        """Gives up at once: a runner that works on takes others' places."""
+        """Cancels the current attempt, so that the runner's place is freed."""
         self.is_abandoned = True
         if self._attempt is not None:
             self._attempt.cancel(attempts.Result.ABANDONED, "caller left")
 
     def divert(self, reason: str, is_dead: bool = False) -> None:
-        """Leaves the group that it is at once all is there to go on.
+        """Moves the request to another group as soon as one can take it.
 
-        Silence alone is no reason to end an answer that can't go on anywhere
-        else: the runner may still finish it. A stream of one node that had its
-        key unconfirmed for 14 ms more was ended so, at a runner that was well.
+        Until then the attempt continues: a silent runner may still finish an
+        answer that no other runner can continue. Without this wait, a stream
+        was cut off at a healthy runner because its node could not confirm the
+        API key for another 14 ms.
 
         Args:
-            reason: For the log.
-            is_dead: Whether the group lost a member. A request that it has not
-                begun is then answered at once, also where it can't go on:
-                nothing is gained by holding it until its caller gives up.
+            reason: The reason for the log.
+            is_dead: Whether the group has lost a member. If the answer has not
+                started, the attempt then ends at once even if no other group
+                can take the request: holding it until its caller leaves gains
+                nothing.
         """
         if self._attempt is None or self.route is None:
             return
         if not self.route.repeatable:
             return
-        self._stay()
-        self._is_dead = is_dead
-        self._leave(self._attempt, reason)
+        self._cancel_diversion()
+        self._has_lost_member = is_dead
+        self._divert_if_possible(self._attempt, reason)
 
-    def _leave(self, attempt: attempts.Attempt, reason: str) -> None:
+    def _divert_if_possible(self, attempt: attempts.Attempt,
+                            reason: str) -> None:
         if attempt is not self._attempt or attempt.done.done():
             return
-        target = self._way_on()
-        if target is not None or (self._is_dead and not self.reply.started):
-            self._reserved = target
+        target = self._find_diversion()
+        if target is not None or (self._has_lost_member and
+                                  not self.reply.started):
+            self._reserved_target = target
             attempt.cancel(attempts.Result.DIVERTED, reason)
             return
-        self._leaving = asyncio.get_running_loop().call_later(
-            RESUME_POLL_MS / 1000, self._leave, attempt, reason)
+        self._divert_timer = asyncio.get_running_loop().call_later(
+            RESUME_POLL_MS / 1000, self._divert_if_possible, attempt, reason)
 
-    def _way_on(self) -> Target | None:
-        """Returns where a try that is left goes on, if it may and can."""
-        if not self._may_go_elsewhere(leaving=self._may_be_at_work()):
+    def _find_diversion(self) -> Target | None:
+        """Returns a target to divert the request to, or None."""
+        if not self._may_retry(leaving=self._may_be_running()):
             return None
         if not self.is_key_valid():
             return None
@@ -237,17 +277,17 @@
             return None
         return found
 
-    def _stay(self) -> None:
-        if self._leaving is not None:
-            self._leaving.cancel()
-            self._leaving = None
+    def _cancel_diversion(self) -> None:
+        if self._divert_timer is not None:
+            self._divert_timer.cancel()
+            self._divert_timer = None
 
-    async def _serve_and_tell(self) -> None:
+    async def _serve_logged(self) -> None:
         try:
             await self._serve()
         except Exception as error:
-            # Its caller would wait until its time is over, and its connection
-            # stay busy for ever.
+            # Without an answer the caller would wait until its deadline, and
+            # its connection would stay in use for ever.
             _LOG.exception(logs.line("request-failed", request=self.attempt_id))
             self._conclusion.fail(repr(error))
 
@@ -260,10 +300,10 @@
             if target is None:
                 self._conclusion.caller_left()
                 return
-            outcome = await self._try(target)
+            outcome = await self._run_attempt(target)
             state = retrydecision.RequestState(
                 self.route is not None and self.route.repeatable,
-                self.may_have_run, self._may_go_elsewhere(), self.reply.started)
+                self.may_have_run, self._may_retry(), self.reply.started)
             step = retrydecision.next_step(outcome.result, state)
             if outcome.result is attempts.Result.FAILED:
                 self._conclusion.record_failure(outcome)
@@ -277,15 +317,16 @@
     async def _next_target(self) -> Target | placing.Refused | None:
         waited_from_ms = clock.now_ms()
         if self.attempted:
-            # A caller's close that was read in the same turn of the loop as
-            # the end of the try is told only now; a run would be for nobody.
+            # Lets the event loop report a caller's close that was read in the
+            # same iteration as the end of the attempt; otherwise the request
+            # would run for a caller that has left.
             await asyncio.sleep(0)
         while True:
             now_ms = clock.now_ms()
             if self.is_abandoned:
                 return None
             if now_ms >= self.deadline_at_ms:
-                # Its caller has left, also where the close is still under way.
+                # The caller has left, even if its close has not arrived yet.
                 return placing.Refused("out of time",
                                        admitting.DEFAULT_RETRY_AFTER_MS)
             found = self._find_target()
@@ -297,49 +338,50 @@
             await asyncio.sleep(RESUME_POLL_MS / 1000)
 
     def _find_target(self) -> Target | placing.Refused:
-        reserved, self._reserved = self._reserved, None
+        reserved, self._reserved_target = self._reserved_target, None
         if not self.is_key_valid():
             return placing.Refused("key not confirmed",
                                    admitting.DEFAULT_RETRY_AFTER_MS)
         return reserved or self._node.find_target(self)
 
-    async def _try(self, target: Target) -> attempts.Outcome:
+    async def _run_attempt(self, target: Target) -> attempts.Outcome:
         attempt = attempts.Attempt(self.attempt_id, self.streaming, self)
         self._attempt = attempt
         self._target = target
         self._node.on_attempt_start(self, target, bool(self.attempted))
         self.attempted.append(target)
         self.progress.begin_attempt()
-        self._is_dead = False
+        self._has_lost_member = False
         runner = target.known.runner
-        self._try_sent_ms = now_ms = clock.now_ms()
+        self._attempt_sent_ms = now_ms = clock.now_ms()
         repeatable = self.route is not None and self.route.repeatable
-        attempt.exchange = self._node.pool.send((runner.host, runner.port),
-                                                self._bytes(target, now_ms),
-                                                attempt,
-                                                new_connection=not repeatable)
+        attempt.exchange = self._node.pool.send(
+            (runner.host, runner.port),
+            self._request_bytes(target, now_ms),
+            attempt,
+            new_connection=not repeatable)
         timer = asyncio.get_running_loop().call_later(
             max(0.0, self.deadline_at_ms - now_ms) / 1000, attempt.cancel,
             attempts.Result.TIMED_OUT, "out of time")
         try:
-            outcome = self._checked(await attempt.done)
+            outcome = self._check_complete(await attempt.done)
         finally:
             timer.cancel()
-            self._stay()
+            self._cancel_diversion()
             self._attempt = None
         if retrydecision.may_have_run(outcome.result):
             self.may_have_run_at.append(target)
             diverted = outcome.result is attempts.Result.DIVERTED
-            if self._may_be_at_work() or not diverted:
-                self._counted_at.append(target)
+            if self._may_be_running() or not diverted:
+                self._counted_targets.append(target)
         self._node.on_attempt_end(self, target, outcome)
         return outcome
 
-    def _checked(self, outcome: attempts.Outcome) -> attempts.Outcome:
-        """Takes a run that ended before what the caller has for a broken one.
+    def _check_complete(self, outcome: attempts.Outcome) -> attempts.Outcome:
+        """Treats a stream that ended before the caller's last event as broken.
 
-        A runner that begins anew and ends early would else end the stream as
-        complete, with events missing.
+        Otherwise a runner that starts over and ends early would end the stream
+        as complete, with events missing.
         """
         if (outcome.result is attempts.Result.STREAMED and
                 self.progress.is_replaying):
@@ -347,33 +389,34 @@
                                     "ended before what the caller has")
         return outcome
 
-    def _may_be_at_work(self) -> bool:
-        """Whether the runner that is left may be at work on the request.
+    def _may_be_running(self) -> bool:
+        """Whether the runner of the ended attempt may be running the request.
 
-        A group that lost a member has given no event: it would have come long
-        before the silence was noticed. Counted as runs all the same, two dead
-        groups in a row used up the attempts of a request that none had begun.
-        One whose members all answer may hold what it runs.
+        A group that has lost a member and gave no event has not started the
+        request: an event would have come long before the silence was noticed.
+        If such attempts counted, two dead groups in a row would use up the
+        attempts of a request that neither had started. A group whose members
+        all answer may be running the request without giving events.
         """
         return (not self.streaming or self.progress.attempt_events > 0 or
-                not self._is_dead)
+                not self._has_lost_member)
 
-    def _may_go_elsewhere(self, leaving: bool = False) -> bool:
+    def _may_retry(self, leaving: bool = False) -> bool:
         if self.route is None or len(self.attempted) >= MAX_TOTAL_ATTEMPTS:
             return False
         if self.reply.started and self.progress.last_event_id is None:
-            # Nothing tells another runner where to go on.
+            # Without an event id another runner can't know where to continue.
             return False
         if self.deadline_at_ms - clock.now_ms() < MIN_REMAINING_MS:
             return False
-        # A runner that ended meanwhile does not count.
+        # Runners that have gone down since then do not count.
         counted = leaving + sum(
-            not each.known.down_ms for each in self._counted_at)
+            not each.known.down_ms for each in self._counted_targets)
         if counted >= self.route.max_attempts:
             return False
         return self._node.may_retry(self.service)
 
-    def _bytes(self, target: Target, now_ms: float) -> bytes:
+    def _request_bytes(self, target: Target, now_ms: float) -> bytes:
         rank = None
         if target.key is not None:
             deferred = target.placed is not None and target.placed.is_deferred
@@ -385,17 +428,22 @@
                 self.tenant.name if self.tenant else None, rank,
                 self.progress.last_event_id))
 
-    # Answers.
+    # Answers; see `attempts.AnswerSink`.
 
     def on_head(self, head: upstream.Head) -> None:
-        """Takes the head of the answer to the try."""
+        """Handles the head of the answer to the current attempt."""
         assert self._target is not None
-        self._node.on_answer_head(self, self._target, head, self._try_sent_ms)
+        self._node.on_answer_head(self, self._target, head,
+                                  self._attempt_sent_ms)
 
     def on_event(self, head: upstream.Head, event: eventparser.Event) -> bool:
-        """Passes an event on, if it is the next one."""
+        """Passes an event on to the caller if it is the next one.
+
+        Returns:
+            Whether the stream may continue: False for an event after a gap.
+        """
         assert self._target is not None
-        self._stay()
+        self._cancel_diversion()
         self._node.on_stream_event(self, self._target)
         order = self.progress.record(event)
         if order is not streamprogress.EventPosition.NEXT:
--- a/cardamommill/gateway/requestlog.py
+++ b/cardamommill/gateway/requestlog.py
@@ -1,4 +1,4 @@
-"""The line of the log that tells how a request ended."""
+"""Formats the log line for the end of a request."""
 
 from cardamommill import logs
 from cardamommill.gateway import relay
@@ -6,14 +6,14 @@
 
 def ended(one: relay.Relay, status: int, reason: str, version: int,
           now_ms: float) -> str:
-    """Returns the line of a request.
+    """Returns the log line for a request that ended.
 
     Args:
-        one: The request.
-        status: Of its answer; 0 for none.
-        reason: Why it was not served; empty if it was.
-        version: Of the configuration in force; 0 for none.
-        now_ms: The time.
+        one: The relay of the request.
+        status: Status of the answer; 0 for no complete answer.
+        reason: Why the request was not served; empty if it was.
+        version: Version of the configuration in force; 0 for none.
+        now_ms: The current time.
     """
     arrived_ms = one.request.arrived_ms
     first_ms = one.first_event_ms
@@ -34,7 +34,7 @@
 
 
 def _forecast(one: relay.Relay) -> dict[str, object]:
-    """Returns what was expected of the last try, where it had a forecast."""
+    """Returns the log fields for the estimate of the last attempt, if any."""
     placed = one.attempted[-1].placed if one.attempted else None
     if placed is None:
         return {}
