--- a/cardamommill/gateway/inflight.py
+++ b/cardamommill/gateway/inflight.py
@@ -42,7 +42,7 @@
 class _InFlightRequest:
     prompt_tokens: int
     is_deferred: bool
-    has_started: bool = False
+    begun: bool = False
 
 
 NO_LOAD = GroupLoad()
@@ -64,7 +64,7 @@
         """Records an event of a request: its prompt has been processed."""
         entry = self._groups.get(key, {}).get(request)
         if entry is not None:
-            entry.has_started = True
+            entry.begun = True
 
     def remove_request(self, key: model.GroupKey, request: str) -> None:
         """Removes a request that is no longer at a group."""
@@ -82,12 +82,12 @@
             return NO_LOAD
         counted = [
             each for each in requests.values()
-            if each.has_started or not each.is_deferred
+            if each.begun or not each.is_deferred
         ]
         return GroupLoad(
             len(counted),
             len(requests) - len(counted),
-            sum(each.prompt_tokens for each in counted if not each.has_started))
+            sum(each.prompt_tokens for each in counted if not each.begun))
 
     def loads(self) -> dict[model.GroupKey, GroupLoad]:
         """Returns the load of this node at every group."""
--- a/tests/gateway/relays.py
+++ b/tests/gateway/relays.py
@@ -1,4 +1,4 @@
-"""One request of a caller whose runners answer as a test says."""
+"""A relay with a fake node and fake runners that a test controls."""
 
 import asyncio
 import dataclasses
@@ -16,18 +16,20 @@
 
 ATTEMPT_ID = "a1"
 NO_GROUP = placing.Refused("no group stands", 300.0)
-FAR_END_MS = 1e12
+FAR_DEADLINE_MS = 1e12
 
 
 @dataclasses.dataclass
 class FakeReply:
-    """What the caller's connection got, in order.
+    """Records the answer to a caller and checks the order of its parts.
 
     Attributes:
-        status: Of the head; 0 before it.
-        events: The ids of whole events.
-        complete_bodies: Bodies that came as one whole answer.
-        ending: How it ended; empty while it goes on.
+        status: Status of the head; 0 before the head.
+        headers: Headers of the head.
+        events: The ids of the events, in order.
+        complete_bodies: Bodies of answers that were sent in one piece.
+        ending: "whole" or "broken off"; empty while the answer continues.
+        started: Whether any part was sent.
     """
 
     status: int = 0
@@ -67,7 +69,7 @@
 
 
 class FakeExchange:
-    """A request at a runner, which the test answers."""
+    """A request at a runner, answered by the test."""
 
     def __init__(self, request, receiver):
         self.request = request
@@ -80,7 +82,7 @@
 
     @property
     def after_event(self):
-        """The id that it goes on after, 0 for none."""
+        """The id of the event after which the stream resumes; 0 for none."""
         name = words.LAST_EVENT_ID.lower()
         for line in self.request.decode().split("\r\n"):
             if line.lower().startswith(f"{name}:"):
@@ -109,7 +111,16 @@
 
 
 class FakeNode:
-    """What a relay needs; groups stand, and keys hold, as a test says."""
+    """Context of a relay whose groups, keys and retry budget a test sets.
+
+    Attributes:
+        exchanges: The requests sent to runners, in order.
+        ends: Status and reason of each request that ended.
+        groups: The number of groups that can be attempted.
+        are_keys_valid: Whether API keys are confirmed.
+        repeats_left: The remaining retry budget.
+        route: The route of the request.
+    """
 
     def __init__(self, kind=model.RouteKind.STREAMING, resumable=True):
         self.pool = self
@@ -123,7 +134,7 @@
                                  prefix="/v/",
                                  kind=kind,
                                  backends=(),
-                                 timeout_ms=FAR_END_MS,
+                                 timeout_ms=FAR_DEADLINE_MS,
                                  goal_ms=300.0,
                                  gap_goal_ms=200.0,
                                  max_attempts=2,
@@ -181,13 +192,13 @@
 
 
 def begin(node, request=None, reply=None):
-    """Returns a relay whose request goes to a runner in the running loop."""
+    """Starts a relay in the running event loop and returns it."""
     headers = [(words.ATTEMPT_ID, ATTEMPT_ID)]
     request = request or callers.CallerRequest("POST", "/v/1", headers, b"",
                                                0.0)
     one = relay.Relay(node, request, reply or FakeReply())
     one.route = node.route
     one.tenant = model.Tenant("t", (), None)
-    one.deadline_at_ms = FAR_END_MS
+    one.deadline_at_ms = FAR_DEADLINE_MS
     one.start()
     return one
--- a/tests/gateway/test_availablegroups.py
+++ b/tests/gateway/test_availablegroups.py
@@ -1,4 +1,4 @@
-"""Tests of which groups take requests."""
+"""Tests of which groups accept requests."""
 
 import pytest
 
@@ -26,7 +26,7 @@
     return list(availablegroups.AvailableGroups(view).of_model("llm", "large"))
 
 
-def test_open_group_takes_requests():
+def test_open_group_is_available():
     (found,) = groups(builders.view(*members()))
     assert found.key == KEY and found.head.runner.id == "i-0"
     assert not found.spans_domains and not found.has_leaving_member
@@ -34,39 +34,39 @@
 
 @pytest.mark.parametrize(
     "state", [STATE.JOINING, STATE.READY, STATE.CLOSING, STATE.BROKEN])
-def test_group_that_is_not_open_takes_none(state):
+def test_group_that_is_not_open_is_unavailable(state):
     assert not groups(builders.view(*members(state)))
 
 
-def test_group_whose_head_is_leaving_takes_none():
-    # A leaving backend server may get nothing 2 s after it said so; its group
-    # is ended only once its requests are done.
+def test_group_with_a_leaving_head_is_unavailable():
+    # A leaving backend server must get no requests from 2 s after its
+    # announcement; its group is closed only after its requests have ended.
     assert not groups(builders.view(*members(leaving=0)))
 
 
-def test_group_with_a_leaving_member_is_the_last_choice():
+def test_group_with_a_leaving_member_is_available_and_marked():
     (found,) = groups(builders.view(*members(leaving=2)))
     assert found.has_leaving_member
 
 
-def test_group_with_a_member_that_does_not_answer_takes_none():
+def test_group_with_an_unresponsive_member_is_unavailable():
     view = builders.view(*members())
     view.record_no_answer("i-2", 2000)
     assert not groups(view)
 
 
-def test_group_whose_head_left_the_list_takes_none():
+def test_group_with_an_unlisted_head_is_unavailable():
     view = builders.view(*members())
     view.apply_list(members()[1:], 2000)
     assert not groups(view)
 
 
-def test_group_over_two_domains_is_known_as_slow():
+def test_group_over_two_domains_is_marked():
     (found,) = groups(builders.view(*members(domains=["d", "d", "d", "e"])))
     assert found.spans_domains
 
 
-def test_change_of_belief_is_seen_at_once():
+def test_change_of_the_view_takes_effect_at_once():
     view = builders.view(*members())
     found = availablegroups.AvailableGroups(view)
     assert found.of_model("llm", "large")
@@ -74,7 +74,7 @@
     assert not found.of_model("llm", "large")
 
 
-def test_alarm_is_heeded_for_its_time_or_until_it_is_taken_back():
+def test_group_is_avoided_until_a_time_or_until_ended():
     found = availablegroups.AvailableGroups(builders.view(*members()))
     found.avoid(KEY, 1000)
     assert found.is_avoided(KEY, 999) and not found.is_avoided(KEY, 1000)
@@ -83,15 +83,16 @@
     assert not found.is_avoided(KEY, 2000)
 
 
-def test_dead_group_is_left_alone_until_the_list_can_say_so():
-    """A head dies right after its heartbeat; a node finds it dead at once.
+def test_dead_group_is_avoided_until_the_list_shows_it():
+    """A head dies right after its heartbeat, and a node notices at once.
 
-    Its entry goes three heartbeats later, and each node learns of that with its
-    next reading. Until then the list says that it serves: an alarm that ends
-    before has every node send it requests again, and notice again.
+    The head's entry expires three heartbeats later, and each node sees that
+    with its next read of the list. Until then the list names it as serving: if
+    the avoidance ended earlier, every node would send it requests again and
+    have to detect the failure again.
     """
     heartbeat_ms, drain_ms = 1200.0, 2000.0
-    gone_ms = 4 * heartbeat_ms
-    known_ms = gone_ms + platformreader.LIST_INTERVAL_RATIO * drain_ms
-    heeded_ms = availablegroups.confirmed_alarm_ms(heartbeat_ms, drain_ms)
-    assert heeded_ms > known_ms
+    expired_ms = 4 * heartbeat_ms
+    listed_ms = expired_ms + platformreader.LIST_INTERVAL_RATIO * drain_ms
+    avoided_ms = availablegroups.confirmed_alarm_ms(heartbeat_ms, drain_ms)
+    assert avoided_ms > listed_ms
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -1,4 +1,4 @@
-"""Tests of where requests go."""
+"""Tests of the placement of requests."""
 
 import collections
 import dataclasses
@@ -13,14 +13,14 @@
 
 
 def candidate(name="g", in_flight=0, **changes):
-    figures = dict(key=model.GroupKey(name, 1),
-                   head=f"i-{name}",
-                   in_flight=in_flight,
-                   places=13,
-                   pace=1.0,
-                   is_remote=False,
-                   is_avoided=False)
-    return placing.Candidate(**{**figures, **changes})
+    defaults = dict(key=model.GroupKey(name, 1),
+                    head=f"i-{name}",
+                    in_flight=in_flight,
+                    places=13,
+                    pace=1.0,
+                    is_remote=False,
+                    is_avoided=False)
+    return placing.Candidate(**{**defaults, **changes})
 
 
 def place(*candidates,
@@ -31,35 +31,39 @@
                          requirements, 700.0)
 
 
-def test_least_loaded_group_is_taken():
+def test_least_loaded_group_is_chosen():
     placed = place(candidate("a", 9), candidate("b", 2))
     assert placed.candidate.key.name == "b"
     assert not placed.is_deferred
 
 
-def test_group_whose_head_takes_nothing_now_is_left_out():
+def test_group_under_backpressure_is_skipped():
     placed = place(candidate("a", 0, wait_ms=300.0), candidate("b", 12))
     assert placed.candidate.key.name == "b"
 
 
-def test_request_that_no_head_takes_now_is_told_when_one_will():
-    """Sent all the same it exceeds the limits; held it is only told later."""
+def test_refusal_by_backpressure_names_the_shortest_wait():
+    """All heads are at their rate limit or have asked for a pause.
+
+    Sending the request would exceed these limits, and holding it would only
+    delay the refusal.
+    """
     refused = place(candidate("a", wait_ms=900.0), candidate("b",
                                                              wait_ms=600.0))
     assert refused.reason == "no runner takes more now"
     assert 600.0 <= refused.retry_after_ms <= 1200.0
 
 
-def test_group_nearby_is_taken_where_both_are_as_good():
+def test_local_group_is_preferred_at_equal_load():
     placed = place(candidate("a", 2, is_remote=True), candidate("b", 2))
     assert placed.candidate.key.name == "b"
 
 
-def test_kept_connection_decides_between_groups_that_are_as_good():
-    """Of hundreds of nodes each sends a group one request in six seconds.
+def test_idle_connection_decides_between_equally_good_groups():
+    """Each of hundreds of nodes sends a group one request in six seconds.
 
-    Spread over all groups that are as good, every second one of them opened a
-    connection, and runners have places for some hundreds only.
+    When a node spread its requests over all equally good groups, every second
+    request opened a connection, and a runner allows only some hundreds.
     """
     placed = place(candidate("a", 2), candidate("b",
                                                 3,
@@ -70,22 +74,22 @@
     assert placed.candidate.key.name == "a"
 
 
-def test_group_away_is_taken_where_it_is_much_sooner():
+def test_remote_group_is_chosen_if_much_faster():
     placed = place(candidate("a", 1, is_remote=True), candidate("b", 13))
     assert placed.candidate.key.name == "a"
 
 
-def test_slow_group_is_left_for_a_whole_one():
+def test_slow_group_loses_to_a_busier_fast_one():
     placed = place(candidate("a", 2, pace=2.5), candidate("b", 6))
     assert placed.candidate.key.name == "b"
 
 
-def test_long_answer_is_not_sent_where_it_cannot_be_whole():
-    """An answer of 80 events; the quick group is full, the slow idle.
+def test_long_answer_avoids_a_group_that_misses_the_deadline():
+    """An answer of 80 events; the fast group is full, the slow one idle.
 
-    The slow one gives the first event in time and takes 10 s for the rest, of
-    8: its caller would wait for all of that and get nothing. Where there is no
-    other, the slow one has it all the same: its length is a guess.
+    The slow group would give the first event in time but take 10 s in total,
+    with a deadline of 8 s: the caller would wait in vain. Without another group
+    the slow one is still used, since the answer's length is an estimate.
     """
     long = placing.TokenCounts(200, 560)
     slow = candidate("slow", 0, pace=2.5)
@@ -95,25 +99,25 @@
     assert place(slow, token_counts=long).candidate.key.name == "slow"
 
 
-def test_avoided_group_is_used_only_where_no_other_is_in_time():
+def test_avoided_group_is_used_only_without_an_alternative():
     avoided = candidate("a", is_avoided=True)
     assert place(avoided, candidate("b", 9)).candidate.key.name == "b"
     assert place(avoided).candidate.key.name == "a"
 
 
-def test_request_that_cannot_be_in_time_waits_behind_those_that_can():
+def test_request_that_cannot_meet_its_objective_is_deferred():
     placed = place(candidate("a", 19))
     assert placed.is_deferred
 
 
-def test_queue_of_late_requests_is_short():
-    # A longer one would not be served before its callers leave.
+def test_queue_of_deferred_requests_is_limited():
+    # Callers at the end of a longer queue would leave before they are served.
     refused = place(candidate("a", 19, deferred=7))
     assert isinstance(refused, placing.Refused)
     assert refused.retry_after_ms > 0
 
 
-def test_returns_are_spread():
+def test_retry_delays_have_jitter():
     early = place(candidate("a", 19, deferred=7),
                   requirements=dataclasses.replace(REQUIREMENTS, jitter=0.0))
     late = place(candidate("a", 19, deferred=7),
@@ -121,11 +125,11 @@
     assert late.retry_after_ms >= 1.5 * early.retry_after_ms
 
 
-def test_caller_comes_back_when_the_queue_is_worked_off():
-    """All groups are full; the shortest queue takes some 2 s.
+def test_retry_delay_covers_the_queue():
+    """All groups are full, and the shortest queue takes about 2 s.
 
-    A caller that comes back before finds the same queue, is refused again and
-    tries no more.
+    A caller that retries earlier finds the same queue, is refused again and
+    gives up.
     """
     refused = place(candidate("a", 60, deferred=7),
                     candidate("b", 40, deferred=7),
@@ -136,14 +140,14 @@
     assert queue_ms - 300 < refused.retry_after_ms < queue_ms + 300
 
 
-def test_no_group_says_when_one_should_stand():
+def test_retry_delay_without_a_group_is_the_recovery_time():
     refused = place(candidate("a"),
                     excluded=frozenset({model.GroupKey("a", 1)}))
     assert refused.reason == "no group stands"
     assert 700 <= refused.retry_after_ms <= 900
 
 
-def test_long_prompt_is_expected_later():
+def test_long_prompt_delays_the_first_event():
     short = placing.place(ENGINE, placing.TokenCounts(100, 10), [candidate()],
                           frozenset(), REQUIREMENTS, 0)
     long = placing.place(ENGINE, placing.TokenCounts(5000, 10), [candidate()],
@@ -151,44 +155,44 @@
     assert long.first_event_ms > short.first_event_ms + 90
 
 
-def test_idle_head_that_fails_all_is_left_for_a_busy_sound_one():
-    """A head fails each request at once, and so has nothing in flight.
+def test_busy_group_is_preferred_to_an_idle_failing_one():
+    """A head that fails every request at once has none in flight.
 
-    By load alone it is the quickest and gets most of what comes.
+    By load alone it would look the fastest and get most requests.
     """
     failing = candidate("failing", 0, fail_odds=0.7)
     assert place(failing, candidate("b", 12)).candidate.key.name == "b"
-    # Late in the queue of a sound one rather than failed.
+    # A request is rather deferred at a healthy group than failed.
     late = place(failing, candidate("b", 18))
     assert late.candidate.key.name == "b" and late.is_deferred
 
 
-def test_head_that_is_likely_to_fail_is_the_last_resort():
+def test_head_that_is_likely_to_fail_is_the_last_choice():
     failing = candidate("failing", 0, fail_odds=0.7)
     full = candidate("full", 13, deferred=13, pending_prompt_tokens=40_000)
     assert place(failing).candidate.key.name == "failing"
     assert place(failing, full).candidate.key.name == "failing"
-    # A moment after it failed one more is told to come back.
-    rests = dataclasses.replace(failing, is_cooling_down=True)
-    assert isinstance(place(rests, full), placing.Refused)
-    assert place(rests).candidate.key.name == "failing"
+    # During the cool-down after a failure, requests are refused instead.
+    cooling_down = dataclasses.replace(failing, is_cooling_down=True)
+    assert isinstance(place(cooling_down, full), placing.Refused)
+    assert place(cooling_down).candidate.key.name == "failing"
 
 
-def test_one_failure_costs_a_head_little():
-    once = candidate("once", 1, fail_odds=0.05)
-    assert place(once, candidate("b", 14)).candidate.key.name == "once"
-    assert place(once, candidate("b", 1)).candidate.key.name == "b"
+def test_single_failure_has_a_small_cost():
+    failed_once = candidate("once", 1, fail_odds=0.05)
+    assert place(failed_once, candidate("b", 14)).candidate.key.name == "once"
+    assert place(failed_once, candidate("b", 1)).candidate.key.name == "b"
 
 
-def test_refused_callers_come_back_by_what_sound_groups_have_to_do():
+def test_retry_delay_ignores_failing_groups():
     idle = candidate("failing", 0, fail_odds=0.7, is_cooling_down=True)
     full = candidate("full", 13, deferred=13, pending_prompt_tokens=60_000)
     refused = place(idle, full)
     assert refused == place(full)
 
 
-def test_overhead_counts_against_the_objective():
-    """With it the queue is too long: all that wait in it would come late."""
+def test_overhead_counts_towards_the_objective():
+    """With the overhead, requests in this queue would miss the objective."""
     full = candidate("a", 13)
     assert not place(full).is_deferred
     late = dataclasses.replace(REQUIREMENTS, overhead_ms=120.0)
@@ -197,8 +201,8 @@
         place(candidate("a", 2)).first_event_ms + 120.0)
 
 
-def shared_out(unreported, requests=60, groups=12):
-    """Returns how many requests each group gets of nodes that know the same."""
+def placements_by_group(unreported, requests=60, groups=12):
+    """Places requests by equal load reports and returns the count per group."""
     chance = random.Random(1)
     candidates = [
         candidate(f"g{number}", number % 4) for number in range(groups)
@@ -212,30 +216,30 @@
     return [counts[each.key] for each in candidates]
 
 
-def test_requests_of_many_nodes_do_not_all_go_to_the_same_group():
-    """Seventy nodes know the same loads, half a second old.
+def test_simultaneous_requests_of_many_nodes_are_spread():
+    """Seventy nodes have the same load reports, half a second old.
 
-    By the lowest cost alone each sends what comes meanwhile to the same group:
-    all sixty requests, where its places are thirteen.
+    If each node took the group with the lowest cost, all sixty requests of that
+    time would go to one group, which has thirteen places.
     """
-    assert max(shared_out(unreported=0.0)) == 60
-    counts = shared_out(unreported=60.0)
+    assert max(placements_by_group(unreported=0.0)) == 60
+    counts = placements_by_group(unreported=60.0)
     assert max(counts) <= 13
     assert min(counts) > 0
 
 
-def test_fuller_groups_get_less_of_what_is_shared_out():
-    counts = shared_out(unreported=60.0, requests=600)
+def test_fuller_groups_get_fewer_of_the_spread_requests():
+    counts = placements_by_group(unreported=60.0, requests=600)
     emptiest, fullest = sum(counts[0::4]), sum(counts[3::4])
     assert fullest < emptiest
 
 
-def test_few_unseen_requests_go_to_the_emptiest_groups_alone():
-    counts = shared_out(unreported=0.3)
+def test_few_unreported_requests_go_only_to_the_emptiest_groups():
+    counts = placements_by_group(unreported=0.3)
     assert sum(counts[0::4]) == sum(counts)
 
 
-def test_avoided_group_gets_nothing_of_what_is_shared_out():
+def test_avoided_group_gets_none_of_the_spread_requests():
     requirement_sets = [
         dataclasses.replace(REQUIREMENTS,
                             jitter=each / 20,
@@ -249,7 +253,7 @@
     assert chosen == {"b"}
 
 
-def test_unseen_requests_grow_with_the_load_and_its_age():
+def test_unreported_requests_grow_with_the_load_and_its_age():
     assert placing.unreported_requests(ENGINE, 1.0, 0, 400.0) == 0.0
     one = placing.unreported_requests(ENGINE, 1.0, 100, 400.0)
     assert placing.unreported_requests(ENGINE, 1.0, 200, 400.0) == 2 * one
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told in the end."""
+"""Tests of attempts, diversions and final answers of relayed requests."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 REFUSED = placing.Refused("all groups are full", 1300.0)
 
 
-class Node:
-    """Has no target for any request."""
+class NodeWithoutTargets:
+    """Context of a relay that never has a target for a request."""
 
     def __init__(self):
         self.work = []
@@ -29,8 +29,8 @@
         self.ends.append((status, reason))
 
 
-class Reply:
-    """Keeps the answer."""
+class RecordingReply:
+    """Keeps an answer that is sent in one piece."""
 
     started = False
 
@@ -39,8 +39,12 @@
 
 
 def end(ran):
-    """Returns the answer to a request that nobody takes any more."""
-    node, reply = Node(), Reply()
+    """Returns the answer to a request that can't be placed.
+
+    Args:
+        ran: Whether an earlier attempt may have run the request.
+    """
+    node, reply = NodeWithoutTargets(), RecordingReply()
     request = callers.CallerRequest("POST", "/v1", [], b"", 0.0)
     one = relay.Relay(node, request, reply)
     if ran:
@@ -53,38 +57,47 @@
 
 
 @pytest.mark.parametrize("ran,status", [(False, 503), (True, 502)])
-def test_refused_caller_is_told_when_to_come_back(ran, status):
-    """No group has a place. Of one that was tried nobody says "not run".
+def test_refusal_says_when_to_retry(ran, status):
+    """All groups are full; an earlier attempt may have run the request.
 
-    Its caller may repeat it all the same, and is told when that is of use.
+    In that case the answer must not promise that the request has not run, but
+    it still says when a retry is worthwhile.
     """
     answer = end(ran)
     assert answer[0] == status
     assert answer[1]["Retry-After"] == "1.300"
 
 
-def played(play, **changes):
-    """Runs a coroutine function on a request that is at its first runner."""
+def run_scenario(scenario, **changes):
+    """Runs a scenario with a request that is at its first runner.
+
+    Args:
+        scenario: Coroutine function that gets the node and the relay.
+        **changes: Arguments of the node.
+
+    Returns:
+        The reply and the node.
+    """
     node = relays.FakeNode(**changes)
 
     async def run():
         one = relays.begin(node)
         await asyncio.sleep(0)
-        await play(node, one)
+        await scenario(node, one)
         await asyncio.sleep(0)
         return one.reply
 
     return asyncio.run(run()), node
 
 
-def test_failed_resumption_is_no_part_of_the_stream():
-    """A runner is cut after two events; the next answers with a failure.
+def test_failed_resumption_breaks_the_stream():
+    """The connection breaks after two events; the next runner answers 500.
 
-    The caller has a stream that has begun: the failure's bytes would be taken
-    for its events. It is told that the stream is not whole.
+    The caller would take the bytes of that answer for events of the stream that
+    it is receiving. Its stream is aborted instead.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         del one
         first = node.exchanges[0]
         first.head(200)
@@ -97,15 +110,15 @@
         node.exchanges[1].answer(500)
         await asyncio.sleep(0)
 
-    reply, _ = played(play)
+    reply, _ = run_scenario(scenario)
     assert reply.events == [1, 2]
     assert reply.ending == "broken off"
 
 
-def test_repeatable_request_that_a_runner_fails_gets_another():
-    """One runner of several answers 500 to a part of its requests."""
+def test_repeatable_request_is_retried_after_a_failure():
+    """One of several runners answers 500 to some requests."""
 
-    async def play(node, one):
+    async def scenario(node, one):
         del one
         node.exchanges[0].answer(500)
         await asyncio.sleep(0)
@@ -113,15 +126,15 @@
         node.exchanges[1].answer(200, b"yes")
         await asyncio.sleep(0)
 
-    reply, _ = played(play, kind=model.RouteKind.IDEMPOTENT)
+    reply, _ = run_scenario(scenario, kind=model.RouteKind.IDEMPOTENT)
     assert (reply.status, reply.complete_bodies) == (200, [b"yes"])
 
 
 @pytest.mark.parametrize("then", ["refused", "cut"])
-def test_failure_of_a_runner_is_told_if_nothing_better_comes(then):
-    """A runner fails a request; the next one refuses it or goes away."""
+def test_first_failure_is_passed_on_if_the_retry_fails_too(then):
+    """A runner answers 500; the next one refuses or its connection breaks."""
 
-    async def play(node, one):
+    async def scenario(node, one):
         del one
         node.exchanges[0].answer(500, b"first")
         await asyncio.sleep(0)
@@ -135,33 +148,33 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
-    reply, _ = played(play, kind=model.RouteKind.IDEMPOTENT)
+    reply, _ = run_scenario(scenario, kind=model.RouteKind.IDEMPOTENT)
     assert (reply.status, reply.complete_bodies) == (500, [b"first"])
 
 
-def test_request_that_may_run_once_gets_its_runners_failure():
-    """A purchase fails at its runner: run again it could be billed twice."""
+def test_non_idempotent_request_is_not_retried_after_a_failure():
+    """A purchase fails at its runner; a retry could bill it twice."""
 
-    async def play(node, one):
+    async def scenario(node, one):
         del one
         node.exchanges[0].answer(500)
         await asyncio.sleep(0)
 
-    reply, node = played(play, kind=model.RouteKind.NON_IDEMPOTENT)
+    reply, node = run_scenario(scenario, kind=model.RouteKind.NON_IDEMPOTENT)
     assert reply.status == 500
     assert len(node.exchanges) == 1
 
 
 @pytest.mark.parametrize("lacking", ["key", "budget", "group"])
-def test_running_stream_is_left_only_when_all_is_there_to_go_on(lacking):
-    """A group falls silent for one node, with two events delivered.
+def test_stream_is_diverted_only_once_it_can_be_resumed(lacking):
+    """A group falls silent for one node after the first event of a stream.
 
-    Its key is not confirmed, the budget is used up, or no other group stands.
-    Left at once the stream would end at a runner that was well; it stays, and
-    goes on there or elsewhere once it can.
+    The API key is not confirmed, the retry budget is used up, or no other group
+    is available. If the attempt ended at once, a stream at a healthy runner
+    would break; it stays there until another group can resume it.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
@@ -180,15 +193,15 @@
         second.complete()
         await asyncio.sleep(0)
 
-    reply, _ = played(play)
+    reply, _ = run_scenario(scenario)
     assert reply.events == [1, 2]
     assert reply.ending == "whole"
 
 
-def test_event_keeps_a_stream_where_it_is():
-    """The group that was silent goes on before there is a way elsewhere."""
+def test_event_cancels_a_diversion():
+    """A silent group continues before another group becomes available."""
 
-    async def play(node, one):
+    async def scenario(node, one):
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
@@ -201,17 +214,17 @@
         first.complete()
         await asyncio.sleep(0)
 
-    reply, _ = played(play)
+    reply, _ = run_scenario(scenario)
     assert (reply.events, reply.ending) == ([1, 2], "whole")
 
 
-def test_stream_waits_a_while_for_its_key_to_be_confirmed():
-    """A runner is cut; the node's view of the keys is too old for 20 ms more.
+def test_broken_stream_waits_for_its_key_to_be_confirmed():
+    """A connection breaks; the node can't confirm keys for another 20 ms.
 
-    Ended at once, an answer that could go on would be lost.
+    If the request ended at once, a stream that could be resumed would be lost.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         del one
         first = node.exchanges[0]
         first.head(200)
@@ -226,19 +239,20 @@
         node.exchanges[1].complete()
         await asyncio.sleep(0)
 
-    reply, _ = played(play)
+    reply, _ = run_scenario(scenario)
     assert (reply.events, reply.ending) == ([1, 2], "whole")
 
 
 @pytest.mark.parametrize("begun", [False, True])
-def test_groups_that_never_began_a_stream_use_up_no_attempts(begun):
-    """Two groups in a row lose a member before they give an event.
+def test_dead_groups_count_as_attempts_only_if_they_gave_events(begun):
+    """Two groups in a row lose a member, before or after giving an event.
 
-    The route allows two runs. None has begun, so the third group may run it;
-    had both begun it, it would have run three times.
+    The route allows two attempts. Without an event neither group has started
+    the request, so a third group may run it. After events at both, a third
+    group would run it a third time.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         for number in range(2):
             exchange = node.exchanges[number]
             if begun:
@@ -249,56 +263,57 @@
         assert len(node.exchanges) == (2 if begun else 3)
         assert node.exchanges[1].cancelled is not begun
 
-    played(play)
+    run_scenario(scenario)
 
 
-def test_groups_that_hold_a_request_use_up_its_attempts():
-    """Two heads in a row take a request and keep it; all their members answer.
+def test_stalled_groups_count_as_attempts():
+    """Two heads in a row accept a request and give no event.
 
-    They may be at work on it without an event. The route allows two runs:
-    counted as none of theirs, it ran at a third head, and in a day in which a
-    fifth of the runners held what they got more requests did so than may.
+    All members of their groups answer, so both may be running the request. The
+    route allows two attempts. When these did not count, the request ran at a
+    third head; with a fifth of the runners holding their requests, more
+    requests ran too often than is allowed.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         for _ in range(2):
             one.divert("group stands still")
             await asyncio.sleep(2 * relay.RESUME_POLL_MS / 1000)
         assert len(node.exchanges) == 2
         assert not node.exchanges[1].cancelled
 
-    played(play)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("is_dead", [False, True])
-def test_request_at_a_dead_group_is_not_held(is_dead):
-    """A group loses a member before it has begun a request; no other stands.
+def test_request_at_a_dead_group_is_answered_at_once(is_dead):
+    """A group loses a member before the first event; no other is available.
 
-    Nothing will come of it there: its caller is told at once when to come back,
-    and that it may have run. While the group is only silent it may still begin.
+    The request can't complete there: its caller is told at once that it may
+    have run and when to retry. A group that is only silent may still start it.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         node.groups = 1
         one.divert("member does not answer", is_dead)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert one.reply.ended is is_dead
 
-    reply, _ = played(play)
+    reply, _ = run_scenario(scenario)
     if is_dead:
         assert reply.status == 502
         assert "Retry-After" in dict(reply.headers)
 
 
-def test_stream_that_waited_until_its_time_was_over_goes_nowhere():
-    """Its run is cut while its key is not confirmed; its caller's time ends.
+def test_stream_is_not_resumed_after_its_deadline():
+    """A stream breaks while its key is unconfirmed, and its deadline passes.
 
-    The key is confirmed after that, a group stands, and the request was sent
-    there: work for a caller who had left, whose leaving this node had not seen.
+    The key is confirmed afterwards and a group is available. Sent there, the
+    request would run for a caller that has left without the node noticing.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         first = node.exchanges[0]
         first.head(200)
         first.event(1)
@@ -309,23 +324,23 @@
         node.are_keys_valid = True
         await asyncio.sleep(0.1)
 
-    reply, node = played(play)
+    reply, node = run_scenario(scenario)
     assert len(node.exchanges) == 1
     assert reply.ending == "broken off"
 
 
-def test_caller_that_left_unseen_gets_no_second_run():
-    """Run cut and connection closed are read in one turn of the event loop.
+def test_request_is_not_retried_for_a_caller_that_just_left():
+    """The runner's and the caller's connections close in one loop iteration.
 
-    The cut came first, and its follow-up was sent before the loop got to the
-    caller's close.
+    The runner's close was handled first, and the retry was sent before the
+    event loop got to the caller's close.
     """
 
-    async def play(node, one):
+    async def scenario(node, one):
         loop = asyncio.get_running_loop()
         node.exchanges[0].cut()
         loop.call_soon(one.caller_left)
         await asyncio.sleep(0.05)
 
-    _, node = played(play)
+    _, node = run_scenario(scenario)
     assert len(node.exchanges) == 1
--- a/tests/gateway/test_stream_machine.py
+++ b/tests/gateway/test_stream_machine.py
@@ -1,9 +1,9 @@
-"""A stream whose runners fail in any order, as its caller sees it.
+"""State machine test of a stream whose runners fail in any order.
 
-Runners cut it, begin anew, skip events, answer with a failure or with another
-whole answer, refuse, fall silent; keys, budget and groups come and go. The
-caller gets one head and each event once, in order, or learns that the stream is
-not whole; nothing else may come within it.
+Runners break the connection, start over, skip events, answer in one piece with
+a success or a failure, refuse, or fall silent; keys, retry budget and groups
+come and go. The caller must get one head and each event once, in order, or
+learn that the stream is incomplete; it must get nothing else.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Stream(stateful.RuleBasedStateMachine):
-    """One request, at one runner at a time."""
+    """A stream that one runner at a time serves."""
 
     def __init__(self):
         super().__init__()
@@ -26,15 +26,15 @@
         self.node = relays.FakeNode()
         self.relay = self.loop.run_until_complete(self._begin())
         self.reply = self.relay.reply
-        self.ended_well = False
+        self.completed = False
         self.next_id = {}
-        self.headed = set()
-        self.settle()
+        self.with_head = set()
+        self.run_loop()
 
     async def _begin(self):
         return relays.begin(self.node)
 
-    def settle(self):
+    def run_loop(self):
 
         async def wait():
             for _ in range(5):
@@ -49,19 +49,19 @@
             return None
         return last
 
-    def _act(self, act):
+    def _run_on_open_exchange(self, action):
         exchange = self.open
         if exchange is not None:
 
             async def run():
-                act(exchange)
+                action(exchange)
 
             self.loop.run_until_complete(run())
-        self.settle()
+        self.run_loop()
 
-    def _events(self, exchange, count, skip=0):
-        if exchange not in self.headed:
-            self.headed.add(exchange)
+    def _send_events(self, exchange, count, skip=0):
+        if exchange not in self.with_head:
+            self.with_head.add(exchange)
             exchange.head(200)
         at = self.next_id.get(exchange, exchange.after_event + 1) + skip
         for number in range(at, min(at + count, LAST + 1)):
@@ -70,67 +70,70 @@
 
     @stateful.rule(count=strategies.integers(1, 3))
     def events(self, count):
-        self._act(lambda exchange: self._events(exchange, count))
+        self._run_on_open_exchange(
+            lambda exchange: self._send_events(exchange, count))
 
     @stateful.rule()
-    def runner_begins_anew(self):
+    def runner_starts_over(self):
 
-        def act(exchange):
+        def action(exchange):
             self.next_id.setdefault(exchange, 1)
-            self._events(exchange, 2)
+            self._send_events(exchange, 2)
 
-        self._act(act)
+        self._run_on_open_exchange(action)
 
     @stateful.rule()
-    def runner_leaves_an_event_out(self):
-        # Which id is the first one the protocol does not say.
-        def act(exchange):
+    def runner_skips_an_event(self):
+        # The protocol does not define the first id, so a gap can be noticed
+        # only after an event.
+        def action(exchange):
             if self.reply.events:
-                self._events(exchange, 1, skip=1)
+                self._send_events(exchange, 1, skip=1)
 
-        self._act(act)
+        self._run_on_open_exchange(action)
 
     @stateful.rule()
-    def runner_ends_well(self):
+    def runner_completes_the_stream(self):
 
-        def act(exchange):
-            self._events(exchange, LAST)
+        def action(exchange):
+            self._send_events(exchange, LAST)
             if not exchange.receiver.done.done():
-                self.ended_well = True
+                self.completed = True
                 exchange.complete()
 
-        self._act(act)
+        self._run_on_open_exchange(action)
 
     @stateful.rule(status=strategies.sampled_from([500, 503, 429, 404, 201]))
-    def runner_gives_a_whole_answer(self, status):
+    def runner_answers_in_one_piece(self, status):
 
-        def act(exchange):
-            if exchange not in self.headed:
+        def action(exchange):
+            if exchange not in self.with_head:
                 exchange.answer(status)
 
-        self._act(act)
+        self._run_on_open_exchange(action)
 
     @stateful.rule()
     def runner_refuses(self):
 
-        def act(exchange):
-            if exchange not in self.headed:
+        def action(exchange):
+            if exchange not in self.with_head:
                 exchange.answer(503, **NOT_RUN)
 
-        self._act(act)
+        self._run_on_open_exchange(action)
 
     @stateful.rule()
-    def runner_is_cut(self):
-        self._act(lambda exchange: exchange.cut())
+    def runner_connection_breaks(self):
+        self._run_on_open_exchange(lambda exchange: exchange.cut())
 
     @stateful.rule()
-    def group_is_silent(self):
-        self._act(lambda exchange: self.relay.divert("group silent"))
+    def group_falls_silent(self):
+        self._run_on_open_exchange(
+            lambda exchange: self.relay.divert("group silent"))
 
     @stateful.rule(hold=strategies.booleans(),
                    budget=strategies.integers(0, 2),
                    groups=strategies.integers(1, 4))
-    def surroundings_change(self, hold, budget, groups):
+    def context_changes(self, hold, budget, groups):
         self.node.are_keys_valid = hold
         self.node.repeats_left = budget
         self.node.groups = groups
@@ -140,17 +143,17 @@
         assert self.reply.events == list(range(1, len(self.reply.events) + 1))
 
     @stateful.invariant()
-    def whole_stream_is_whole(self):
+    def completed_stream_has_all_events(self):
         if self.reply.ending == "whole" and not self.reply.complete_bodies:
-            assert self.ended_well
+            assert self.completed
             assert self.reply.events == list(range(1, LAST + 1))
 
     @stateful.invariant()
-    def one_end_is_told(self):
+    def end_is_reported_at_most_once(self):
         assert len(self.node.ends) <= 1
 
     @stateful.invariant()
-    def serving_does_not_fail(self):
+    def serving_task_does_not_raise(self):
         if self.node.task.done():
             self.node.task.result()
 
