--- a/cardamommill/gateway/placing.py
+++ b/cardamommill/gateway/placing.py
@@ -8,7 +8,7 @@
 # Maximum number of deferred requests at a group, as a fraction of its places:
 # more would not be served before their callers leave.
 PATIENT_PART = 0.5
-# A suspect group is used only where no other group is available.
+# An avoided group is used only if no other group is available.
 AVOIDED_COST_MS = 100_000.0
 # Cost of a failed attempt: about a request's latency objective, since the next
 # attempt starts later, goes to a second-choice runner, and uses up the retry
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -39,8 +39,8 @@
 RESUME_WAIT_MS = 1500.0
 # Interval of the search for that group.
 RESUME_POLL_MS = 40.0
-# Maximum wait for the first event: callers leave after two seconds without an
-# event.
+# Maximum estimated time to the first event of a deferred request: callers leave
+# after two seconds without an event.
 PATIENCE_MS = 1600.0
 
 _LOG = logbook.Logger("requests")
