--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -42,13 +42,14 @@
 )
 from cardamommill.platform import storecalls, words
 
-# Interval of periodic work; a silent group is noticed this much later.
+# Interval of periodic work; a silent group is noticed up to this much later.
 TICK_MS = 20.0
 PLAN_EVERY_TICKS = 3
 SWEEP_EVERY_TICKS = 12
-# The load balancer checks readiness every second and removes a node after two
-# failed checks.
+# Time after which a stopping node gets no more requests. The load balancer
+# checks readiness every second and removes a node after two failed checks.
 LEAVE_ROTATION_MS = 2600.0
+# A stopping node ends this long before it is killed.
 GRACE_MARGIN_MS = 500.0
 # Short, because another node can accept the request at once.
 STOPPED_RETRY_AFTER_S = 0.05
@@ -101,6 +102,7 @@
                                                self._reader, self._freshness,
                                                self._peers, self.metrics,
                                                self.spawn)
+        # Names of groups begin with a text that no other node or start uses.
         self._group_controller = groupcontroller.GroupController(
             self.view, self.pool,
             f"{settings.node[:24]}-{self._incarnation % 36**5:x}",
@@ -399,10 +401,10 @@
             self._ended.set()
 
     def _reload(self, why: str) -> None:
-        changed = self._settings_file.read(why)
-        if changed is None:
+        settings = self._settings_file.read(why)
+        if settings is None:
             return
-        self._settings = changed
-        self._freshness.revoke_ms = changed.bounds.revoke_ms
-        self._requests.reload(changed)
-        self._link.add_seeds(changed)
+        self._settings = settings
+        self._freshness.revoke_ms = settings.bounds.revoke_ms
+        self._requests.reload(settings)
+        self._link.add_seeds(settings)
--- a/cardamommill/gateway/entrysettings.py
+++ b/cardamommill/gateway/entrysettings.py
@@ -9,7 +9,7 @@
 
 
 class Bounds(checking.Checked):
-    """Service guarantees of the operators, which the node has to meet.
+    """Guarantees that the operators give and the node has to meet.
 
     Attributes:
         drain_ms: Time after which a leaving runner gets no requests.
@@ -46,7 +46,8 @@
         callers: Address on which requests of callers are accepted.
         ready: Address of the readiness endpoint for the load balancer.
         peer_port: Port for traffic between nodes, the same on all of them.
-        seeds: Control addresses of some nodes; they may be stale.
+        seeds: Addresses of some nodes, which may be stale. Only the host is
+            used, with `peer_port`.
         platform: Address of the platform's store.
         metrics_port: Port of the metrics endpoint; 0 disables it.
         heartbeat_ms: Interval at which runners write to the store.
--- a/cardamommill/gateway/eras.py
+++ b/cardamommill/gateway/eras.py
@@ -26,7 +26,8 @@
     def __init__(self) -> None:
         self._first: int | None = None
         self._newest = 0
-        # A dict, so that waiters are woken in the order of their arrival.
+        # A dict, so that waiters are woken in the order of their arrival and
+        # simulations with the same seed agree.
         self._waiters: dict[asyncio.Future[None], None] = {}
 
     @property
--- a/cardamommill/gateway/fleetview.py
+++ b/cardamommill/gateway/fleetview.py
@@ -9,8 +9,8 @@
 # How long a runner that left the list is kept. It may still be probed, since
 # its group may still be open.
 DELISTED_RETENTION_MS = 30_000
-# Default of `FleetView.list_stale_ms`, for a drain bound of 2 s: how long the
-# next list is waited for when there are no changes.
+# Default of `FleetView.list_stale_ms`, for a drain bound of 2 s. While nothing
+# changes, a list normally reaches a lower age before the next one arrives.
 LIST_STALE_MS = 2800.0
 
 
@@ -132,7 +132,7 @@
         # Incremented with each change, so that derived data can be cached.
         self.version = 0
         self.list_as_of_ms = float("-inf")
-        # An older list is no longer acted upon; set by the list's reader.
+        # Age beyond which the list is no longer acted upon; set by its reader.
         self.list_stale_ms = LIST_STALE_MS
         self._groups: dict[str, dict[model.GroupKey, Group]] = {}
         self._groups_version = -1
@@ -298,6 +298,7 @@
                                            membership=model.Membership(
                                                key.name, key.epoch, 0,
                                                model.MemberState.OPEN))
+        # So that a row from before the group was opened does not undo this.
         known.report_ms = max(known.report_ms, known.listed_ms)
         self.version += 1
         return True
@@ -308,18 +309,18 @@
                            last_listed_ms: float, as_of_ms: float) -> None:
         """Applies a changed row if it is newer than all other evidence.
 
-        A row is as old as its last change, not as its last read. During an
-        outage of the store a runner joined a group, which its row did not show,
-        and after the outage it was taken to be free. A row is certainly newer
-        than an order or a report only if it was read after these with its
-        previous content.
+        A row is as old as its last change, not as its last read. Otherwise the
+        unchanged row of a runner that joined a group during an outage of the
+        store would make the runner appear free after the outage. A row is
+        certainly newer than an order or a report only if a list that was read
+        after these still contained its previous content.
         """
         is_newer = last_listed_ms > max(known.report_ms, known.order_ms)
         if not is_newer and not memberships.is_successor(
                 known.membership, status.membership, previous):
-            # The staged models are valid in any case. Without them, a load that
-            # ended before the next read went unnoticed, and the spare was never
-            # used.
+            # The staged models are valid in any case. If they were ignored, a
+            # load that ended before the next read would go unnoticed, and the
+            # spare runner would never be used.
             known.status = dataclasses.replace(known.status,
                                                staged=status.staged)
             return
--- a/cardamommill/gateway/memberships.py
+++ b/cardamommill/gateway/memberships.py
@@ -25,10 +25,10 @@
 def is_successor(before: model.Membership | None,
                  after: model.Membership | None,
                  previous: model.Membership | None) -> bool:
-    """Whether a membership is the same or a later state of another.
+    """Whether a row shows the known membership in the same or a later state.
 
     Args:
-        before: The membership that is assumed now.
+        before: The membership according to all earlier evidence.
         after: The membership in the runner's new row.
         previous: The membership in the runner's previous row.
     """
--- a/cardamommill/gateway/model.py
+++ b/cardamommill/gateway/model.py
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupKey:
-    """Identifies one formation of a replica, whose list of members is fixed."""
+    """Identifies one formation of a group, whose list of members is fixed."""
 
     name: str
     epoch: int
@@ -28,7 +28,7 @@
 
     @property
     def short_id(self) -> int:
-        """A 32-bit hash of the key, of which many fit into one datagram."""
+        """A 32-bit hash of the key, so that many fit into one datagram."""
         return _short_id(self)
 
 
@@ -74,7 +74,7 @@
     """A runner's answer to a status query.
 
     Attributes:
-        status: The part that the runner list also holds, with a delay.
+        status: What its entry in the runner list also contains, but later.
         orders_begun: Number of orders that had an effect since its start.
         busy: Whether it is carrying out an order.
         waiting: Requests in its queue.
@@ -92,9 +92,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Runner:
-    """A runner's entry in the runner list; a restarted runner is a new one.
+    """A runner's entry in the runner list; a restarted runner gets a new id.
 
     Attributes:
+        slots: Number of requests that it executes at once.
         row_version: Version of its row, which changes with the row's content.
         row_era: Era of the store in which that version was assigned.
     """
@@ -142,9 +143,27 @@
     """Published performance parameters of a service's inference engine.
 
     Attributes:
+        slots: Number of requests that a group executes at once.
+        kv_tokens: Capacity of a group's key-value cache.
+        stride: Number of steps in a pass. A step generates one token for each
+            request that is being executed.
+        step_ms: Time for a step without requests.
+        per_sequence_ms: Additional time for a step per request.
+        context_per_k_ms: Additional time for a step per 1000 tokens of each
+            request's context.
+        read_tokens_per_ms: Rate at which prompts are processed.
+        pairs_per_m_ms: Additional time to process a prompt, per million pairs
+            of its tokens.
+        chunk_tokens: Maximum number of prompt tokens processed in a step.
+        loads_per_s: Limit on the rate of model loads in all data centres.
+        loads_at_once: Number of concurrent loads beyond which each takes
+            longer.
+        form_ms: Time from the accepted order to open a group until it serves.
         report_lag_ms: Age of the state that a runner's report describes.
         far_factor: Factor applied to all execution times of a group whose
             members are in more than one fabric domain.
+        usual_prompt_tokens: Typical length of a prompt.
+        usual_answer_tokens: Typical length of an answer.
     """
 
     slots: int
@@ -193,9 +212,13 @@
     """Maps requests to services, with time limits and a retry policy.
 
     Attributes:
-        backends: Pairs of service and weight.
+        timeout_ms: Maximum time for a request; a request may set a lower one.
+        goal_ms: Latency objective for the start of an answer; 0 for none.
         gap_goal_ms: Longest pause between stream events that still meets the
             latency objective.
+        backends: Pairs of service and weight.
+        public: Whether requests need no API key.
+        resumable: Whether requests for streams may be executed more than once.
     """
 
     name: str
--- a/cardamommill/gateway/peertables.py
+++ b/cardamommill/gateway/peertables.py
@@ -50,7 +50,7 @@
         Args:
             pool: Connections to peers.
             address: Address of the peer.
-            known: Updated with the store's era in each answer.
+            known: The eras that answers reported; each answer updates them.
         """
         self._pool = pool
         self._address = address
@@ -117,8 +117,9 @@
             found = tuple(
                 storecalls.Row(str(key), bytes(value), int(number), bool(gone))
                 for key, value, number, gone in rows)
-            # The peer computes the age when the query arrives, after it was
-            # sent. So this time is never later than that of the data.
+            # The peer computes the age at the arrival of the query, which is
+            # after `asked_ms`. So the difference of the two is never later than
+            # the time of the data.
             return storecalls.Rows(found, int(version),
                                    asked_ms - float(age_ms),
                                    int(era[0]) if era else self._eras.first)
@@ -192,10 +193,10 @@
             return None
         pending = _PendingAnswer()
         if table.is_loaded:
-            later = _answer_changes(reply, table, pending, rows_query)
+            answering = _answer_changes(reply, table, pending, rows_query)
         else:
-            later = _answer_first_copy(reply, table, pending, rows_query)
-        self._spawn(later)
+            answering = _answer_first_copy(reply, table, pending, rows_query)
+        self._spawn(answering)
         return pending
 
 
--- a/cardamommill/gateway/platformreader.py
+++ b/cardamommill/gateway/platformreader.py
@@ -19,8 +19,8 @@
 from cardamommill.platform import configurations, entries, storecalls, words
 
 # How long a query for configuration changes is held, as a fraction of the time
-# for which a revoked key may still be accepted. An unanswered query confirms
-# nothing; in the meantime peers report what they have confirmed.
+# for which a revoked key may still be accepted. A query confirms nothing until
+# it is answered; until then this node uses the confirmations of its peers.
 FEED_WAIT_RATIO = 0.5
 # Interval between reads of a changing list, as a fraction of the drain bound,
 # so that changes are known well within that bound. It does not depend on the
@@ -66,6 +66,16 @@
                  servers: tablereader.TableReader, view: fleetview.FleetView,
                  fresh: freshness.Freshness, drain_ms: float,
                  on_table: Callable[[routetable.RouteTable], None]) -> None:
+        """Initialises the reader.
+
+        Args:
+            operator: Reads the operator's table, with the configuration.
+            servers: Reads the table of servers, which is the runner list.
+            view: Updated with each list.
+            fresh: Updated with each confirmation of the configuration.
+            drain_ms: The drain bound.
+            on_table: Called with the route table of each new configuration.
+        """
         self._operator = operator
         self._servers = servers
         self.table: routetable.RouteTable | None = None
@@ -85,7 +95,8 @@
         self._undecodable_version = 0
         # Version of the configuration in the store.
         self._stored_version = 0
-        # Version of the table at the first read after a restore of the store.
+        # Version of the operator's table at the first read after a restore of
+        # the store.
         self._restored_version = 0
         # Reads before this time don't confirm the configuration, because a
         # newer one may have been lost in a restore.
@@ -144,9 +155,9 @@
     async def catch_up(self) -> None:
         """Reads a newer configuration from a peer if the usual source is late.
 
-        The usual source is replaced only after seconds when it is partitioned:
-        a peer still answers with the copy that it has, and an unresponsive
-        store is waited for.
+        If the usual source is partitioned, it takes seconds until another one
+        is selected: a peer still answers with the copy that it has, and an
+        unresponsive store is waited for until the timeout.
         """
         version = self._version()
         self._is_catching_up = True
@@ -175,6 +186,7 @@
                 logs.line("caught-up", before=version, now=self._version()))
 
     def _version(self) -> int:
+        """Returns the version of the configuration in use, or 0 without one."""
         return self.table.configuration.version if self.table else 0
 
     def _take_rows(self, result: tablereader.ReadResult) -> None:
@@ -228,6 +240,11 @@
                       for_ms=restoration.REWRITE_TIMEOUT_MS))
 
     def _take_configuration(self, value: bytes) -> bool:
+        """Uses a stored configuration if it is newer than the current one.
+
+        Returns:
+            Whether it could be decoded.
+        """
         try:
             configuration = configurations.decode(value)
         except exceptions.BadPeerMessage as error:
@@ -366,7 +383,8 @@
 
     def _log_refused_entry(self, row: storecalls.Row,
                            error: exceptions.BadPeerMessage) -> None:
-        # Logged once per content, since the list is read every second.
+        # Logged once per content, since the list is read every second. The
+        # limit bounds the memory for the contents.
         row_text = (row.key, row.value)
         if row_text not in self._logged_rows and len(self._logged_rows) < 1000:
             self._logged_rows.add(row_text)
--- a/cardamommill/gateway/settingsfile.py
+++ b/cardamommill/gateway/settingsfile.py
@@ -23,20 +23,24 @@
         return _fingerprint(self._path) != self._fingerprint
 
     def read(self, why: str) -> entrysettings.EntrySettings | None:
-        """Returns the settings, or None if the file is invalid."""
+        """Returns the settings, or None if the file is invalid.
+
+        Args:
+            why: The reason for the read, which is logged.
+        """
         self._fingerprint = _fingerprint(self._path)
         try:
-            changed = entrysettings.load(self._path)
+            settings = entrysettings.load(self._path)
         except exceptions.SettingsError as error:
             _LOG.error(logs.line("reload-refused", why=why, reason=str(error)))
             return None
         _LOG.info(logs.line("reload", why=why))
-        return changed
+        return settings
 
 
 def _fingerprint(path: pathlib.Path) -> tuple[int, int]:
     try:
-        found = path.stat()
+        file_status = path.stat()
     except OSError:
         return (0, 0)
-    return (found.st_mtime_ns, found.st_size)
+    return (file_status.st_mtime_ns, file_status.st_size)
--- a/cardamommill/gateway/sourceselector.py
+++ b/cardamommill/gateway/sourceselector.py
@@ -83,9 +83,9 @@
     def is_store_lost(self) -> bool:
         """Whether the last calls to the store failed, more than one in a row.
 
-        After a single lost answer of a feed, the store answers a retry within
-        some ms. When nodes turned to peers at once, which had lost their
-        answers as well, all of them rejected all keys for 0.6 s.
+        After a single unanswered query the store answers a retry within some
+        ms. When all nodes lost one answer and each turned to a peer at once,
+        none had newer data, and all of them rejected all keys for 0.6 s.
         """
         failures = self._failures.get(STORE)
         return failures is not None and failures.count >= STORE_FAILURE_LIMIT
@@ -143,9 +143,9 @@
         store. Followers of a node that has lost it would learn too late that
         runners are leaving, or would each call the store on their own.
 
-        A node follows only nodes before it in that order. So two nodes can
-        follow each other only until they learn which of them lost the store.
-        A node that plans always reads from the store, because it waits for
+        A node follows only nodes before it in that order, so two nodes follow
+        each other at most until both know which of them has lost the store. A
+        node that plans always reads from the store, because it waits for
         changes of the members of its groups.
         """
         if self._peers.is_planner:
--- a/cardamommill/gateway/tablecopies.py
+++ b/cardamommill/gateway/tablecopies.py
@@ -1,4 +1,7 @@
-"""This node's copies of the store's tables, with their recent changes."""
+"""This node's copies of the store's tables, with their recent changes.
+
+Other nodes, the followers of a copy, read the table from it.
+"""
 
 import asyncio
 from collections import deque
@@ -7,8 +10,8 @@
 from cardamommill.gateway import eras
 from cardamommill.platform import storecalls
 
-# Peers that follow a copy query it several times a second. The history must
-# cover a burst of changes for those that were delayed.
+# Followers query a copy several times a second. The history must cover a burst
+# of changes for those that were delayed.
 MAX_KEPT_CHANGES = 2000
 
 
@@ -24,7 +27,8 @@
         self._changes: deque[storecalls.Row] = deque()
         # The history holds all changes after this version.
         self._history_start = 0
-        # A dict, so that waiters are woken in the order of their arrival.
+        # A dict, so that waiters are woken in the order of their arrival and
+        # simulations with the same seed agree.
         self._waiters: dict[asyncio.Future[None], None] = {}
 
     def apply_rows(self, rows: storecalls.Rows, whole: bool) -> None:
--- a/cardamommill/gateway/tablereader.py
+++ b/cardamommill/gateway/tablereader.py
@@ -19,8 +19,8 @@
 # Longest time for which a peer may hold a query while nothing changes. Each
 # answer updates the age of the data; a dead peer is noticed this much later.
 PEER_WAIT_MS = 450
-# The wait is shortened, but not below this, when the copy is nearly too old, so
-# that a peer that has lost the store is abandoned as soon as its data is.
+# The wait is shortened, but not below this, when this node's copy is nearly too
+# old, so that a peer that has lost the store is abandoned soon after that.
 PEER_MIN_WAIT_MS = 50.0
 
 _LOG = logbook.Logger("platform")
@@ -45,20 +45,20 @@
     """Reads one table from the store or from peers."""
 
     def __init__(self, store: storecalls.Store, pool: upstream.Pool,
-                 choice: sourceselector.SourceSelector, name: str,
+                 selector: sourceselector.SourceSelector, name: str,
                  copy: tablecopies.TableCopy) -> None:
         """Initialises the reader.
 
         Args:
             store: The store, for reads without a peer.
             pool: Connections to peers.
-            choice: Selects the source of each read.
+            selector: Selects the source of each read.
             name: Name of the table.
             copy: Updated with each read; peers are served from it.
         """
         self._store = store
         self._pool = pool
-        self._choice = choice
+        self._choice = selector
         self._name = name
         self._copy = copy
         self._last_source = sourceselector.STORE
@@ -91,11 +91,11 @@
         self._log_source_change(source)
         after = self._known_position
         if source.peer is None and self._choice.has_store_failed:
-            # A feed without changes is answered only at the end of its wait,
-            # and until then no key could be trusted. A whole read is answered
-            # at once. Peers answer often, so their feed is continued: whole
-            # reads from them sent whole tables between data centres for as
-            # long as a network partition lasted.
+            # A query for changes is held while there are none, and until it is
+            # answered, no API key could be trusted. A whole read is answered
+            # at once. Peers answer often, so they are still queried for
+            # changes: whole reads from them sent whole tables between data
+            # centres for as long as a network partition lasted.
             after = None
         return await self._read_from(source, after, wait_ms, max_age_ms)
 
@@ -116,7 +116,8 @@
             self._choice.failed(source, clock.now_ms())
             raise
         self._choice.succeeded(source)
-        # A peer's copy may be older than that of the previous source.
+        # A peer's copy may be older than that of the previous source. The
+        # position does not go back then, since the later changes are known.
         self._known_position = max(after or rows.position, rows.position)
         self._copy.apply_rows(rows, whole=after is None)
         was_restored = self._era not in (None, rows.era)
--- a/tests/gateway/test_fleetview.py
+++ b/tests/gateway/test_fleetview.py
@@ -45,8 +45,8 @@
     """A host is ordered to load a model and is done before the next read.
 
     The row may be older than the order, but its staged models are valid in any
-    case. When they were ignored, the spare was taken to be loading for the rest
-    of the day, as nothing else in that row changed.
+    case. If they were ignored, the spare runner would appear to be loading
+    until its row changes again, which may take the rest of the day.
     """
     view = builders.view(builders.runner(1, 5), at_ms=1000)
     view.record_order("i-1", 1, None, 1500)
--- a/tests/gateway/test_platformreader.py
+++ b/tests/gateway/test_platformreader.py
@@ -19,7 +19,8 @@
 
 CONFIG = (words.OPERATOR_TABLE, words.CONFIGURATION_KEY)
 DRAIN_MS = 2000.0
-# A change is known after this time, which leaves some time to act on it.
+# Time within which the reader must know of a change. It is less than the drain
+# bound, which leaves some time to act on the change.
 KNOWN_S = 0.7 * DRAIN_MS / 1000
 
 
@@ -98,11 +99,11 @@
 
 
 def test_keys_are_not_confirmed_after_an_undecodable_configuration():
-    """The operator of a newer release writes what this one can't decode.
+    """A newer release of the operator writes what this one can't decode.
 
-    It may revoke keys. The next answer of the store contains no changes and was
-    taken to confirm the current configuration, so that revoked keys would have
-    been accepted until the node was restarted.
+    The new configuration may revoke keys. The next answer of the store contains
+    no changes. If that confirmed the current configuration, revoked keys would
+    be accepted until the node is restarted.
     """
 
     async def script(harness):
--- a/tests/gateway/test_sourceselector.py
+++ b/tests/gateway/test_sourceselector.py
@@ -73,7 +73,7 @@
 
 
 def test_planner_reads_for_itself():
-    """It waits for its members; a list that is 1 s old would delay a group."""
+    """It waits for members of groups; a list 1 s old would delay a group."""
     selector, known = selector_and_peers(9)
     known.planned_data_centres(("a",), NOW_MS)
     receive(known, peer(1), peer(2))
@@ -119,8 +119,8 @@
 def test_next_nodes_become_readers_when_readers_lose_the_store():
     """The store refuses both readers, but would answer the other nodes.
 
-    Each of these called the store itself once its list was stale: 37 nodes
-    instead of two, and up to a second late.
+    If no other nodes became readers, each follower would call the store itself
+    once its list is stale: 37 nodes instead of two, and up to a second late.
     """
     nodes = range(1, 9)
     lost = {1, 2}
--- a/tests/gateway/test_starting.py
+++ b/tests/gateway/test_starting.py
@@ -15,7 +15,10 @@
 
 
 def test_node_imports_no_more_modules_than_it_needs():
-    """While all nodes are restarting, callers are refused until one is up."""
+    """Each import delays the start.
+
+    While all nodes are restarting, callers are refused until one is up.
+    """
     text = ("import sys, cardamommill.__main__, cardamommill.gateway.starting; "
             "print(*sys.modules)")
     loaded = run(sys.executable, "-c", text).stdout.split()
