--- a/cardamommill/platform/advice.py
+++ b/cardamommill/platform/advice.py
@@ -32,6 +32,8 @@
 def is_leaving(headers: httpheaders.Headers, runner: str) -> bool:
     """Returns whether a runner announces that it is leaving.
 
+    Without the header, or with an empty one, it is not.
+
     Args:
         headers: The headers of one of its answers.
         runner: The id of the runner that answered.
@@ -54,7 +56,7 @@
         runner: The id of the runner that refused.
 
     Returns:
-        The time from `Retry-After`; 0 if the refusal names none.
+        The time from `Retry-After` in ms; 0 if the refusal names none.
 
     Raises:
         BadPeerMessage: The header holds no decimal number of seconds.
@@ -67,8 +69,9 @@
 
 def _parse_decimal(name: str, text: str, runner: str) -> float:
     if not _DECIMAL.fullmatch(text.strip()):
-        raise _malformed(name, f"expected a decimal number, got {text!r}",
-                         runner)
+        raise _malformed(
+            name, "expected an unsigned decimal number with at most 9 digits"
+            f" on each side of the point, got {text!r}", runner)
     return float(text)
 
 
--- a/cardamommill/platform/configurations.py
+++ b/cardamommill/platform/configurations.py
@@ -9,6 +9,7 @@
 from cardamommill.gateway import model
 from cardamommill.platform import wire
 
+# Priorities run from 0, the most urgent, to 9.
 DEFAULT_PRIORITY = 5
 
 
@@ -47,6 +48,8 @@
 
 
 class _Model(wire.Wire):
+    """A model that an engine serves; see `model.ServedModel`."""
+
     name: str
     size: int = 1
     share: float = 0.0
@@ -56,11 +59,15 @@
 
 
 class _Usual(wire.Wire):
+    """Tokens of the prompt and of the answer of a usual request."""
+
     prompt: float = 500.0
     answer: float = 100.0
 
 
 class _Engine(wire.Wire):
+    """The parameters of a service's engine; see `model.Engine`."""
+
     slots: int = 1
     kvCapacity: int = 0  # noqa: N815
     stride: int = 1
@@ -169,6 +176,7 @@
 
 
 def _engine(engine: _Engine) -> model.Engine | None:
+    # Without models there is nothing to form groups for: a plain service.
     if not engine.models:
         return None
     return model.Engine(slots=max(1, engine.slots),
--- a/cardamommill/platform/entries.py
+++ b/cardamommill/platform/entries.py
@@ -1,4 +1,7 @@
-"""Decodes runners' entries in the runner list and runners' reports."""
+"""Decodes runners' entries in the runner list and runners' reports.
+
+Also parses the JSON objects in other bodies, such as the store's answers.
+"""
 
 import json
 from typing import Annotated, Any, TypeVar
@@ -40,7 +43,11 @@
 
 
 class _WireEntry(_WireStatus):
-    """A row of the runner list; its `seq` counts heartbeats, not orders."""
+    """A row of the runner list.
+
+    The row's `seq` is not read: it counts heartbeats, while that of a report
+    counts orders.
+    """
 
     service: str
     address: Annotated[str,
@@ -51,7 +58,7 @@
 
 
 class _WireReport(_WireStatus):
-    """A runner's report; its `seq` counts the orders that began work."""
+    """A runner's report; `seq` counts the orders that the runner has begun."""
 
     seq: int
     busy: bool = False
@@ -74,12 +81,12 @@
 
     Raises:
         BadPeerMessage: The row is no valid entry, or its state is unknown to
-            this version of the software; the row then names no runner.
+            this version of the software. The runner then counts as unlisted.
     """
     entry = _parse(_WireEntry, value, runner)
     if entry.state not in (words.READY, words.DRAINING):
         raise exceptions.BadPeerMessage(
-            f"unknown state {entry.state!r}, expected ready or draining",
+            f"unknown runner state {entry.state!r}, expected ready or draining",
             step="decode entry",
             peer=runner)
     host, _, port = entry.address.rpartition(":")
@@ -119,6 +126,7 @@
         return kind.model_validate_json(value)
     except pydantic.ValidationError as error:
         first = error.errors(include_url=False)[0]
+        # The step in the message is the class's name without "_Wire".
         raise exceptions.BadPeerMessage(
             f"{'.'.join(map(str, first['loc']))}: {first['msg']}",
             step=f"decode {kind.__name__.lower().removeprefix('_wire')}",
--- a/cardamommill/platform/ordercalls.py
+++ b/cardamommill/platform/ordercalls.py
@@ -8,8 +8,8 @@
 from cardamommill.platform import entries, words
 
 # A runner answers in a few ms; an unreachable one never does. An unanswered
-# order is sent again, and a copy that arrives late is refused by the count of
-# orders that it expects.
+# order is sent again. If the first copy arrives late, the runner refuses it,
+# since the order names how many orders the runner must have begun before it.
 ORDER_TIMEOUT_MS = 300
 REPORT_TIMEOUT_MS = 150
 
@@ -17,12 +17,14 @@
 class Reply(enum.Enum):
     """A runner's reply to an order."""
 
+    # Status 202: the runner has begun to carry out the order.
     BEGUN = "begun"
+    # Status 200: carried out at once, or begun or done already.
     DONE = "done"
-    # The runner's state or count of orders is not the expected one.
+    # Status 409: the runner's state or count of orders is not the expected one.
     UNFIT = "unfit"
-    # Another runner has the address, or an epoch was too old; also where the
-    # order was not sent, and for any other status.
+    # Any other status, such as when another runner has the address or the epoch
+    # is too old. Also if the order could not be sent.
     REFUSED = "refused"
     # No complete answer: the order may have been carried out, or may be yet.
     UNKNOWN = "unknown"
@@ -52,8 +54,8 @@
     """Sends an order to a runner.
 
     Returns:
-        The reply, and what it rests on: status and start of the body, or why
-        there is no complete answer.
+        The reply and a text for the log: the answer's status and the start of
+        its body, or why there is no complete answer.
     """
     request = fetching.request_bytes("POST", words.ORDER_PATH, [
         ("Host", f"{runner.host}:{runner.port}"),
--- a/cardamommill/platform/storecalls.py
+++ b/cardamommill/platform/storecalls.py
@@ -14,8 +14,8 @@
 from cardamommill.gateway import clock, eras, fetching, httpheaders, upstream
 from cardamommill.platform import entries, words
 
-# A store that is sixty times as slow as usual answers in 300 ms; one that
-# does not answer at all should be asked again soon.
+# For reads of rows and for writes. Even a store that is slowed down sixty times
+# answers in 300 ms; one that does not answer at all should be asked again soon.
 READ_TIMEOUT_MS = 1000
 # How long a feed's answer may take beyond the wait that was asked for. A longer
 # margin would leave API keys unconfirmed for too long after one lost answer.
@@ -28,7 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One row of a table; the value of a deleted row is empty."""
+    """One row of a table; the value of a deleted row is empty.
+
+    The store's JSON calls the version `schemaVersion`, its feed's query
+    `sinceRev`.
+    """
 
     key: str
     value: bytes
@@ -38,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rows:
-    """Rows read from the store, and the time and version that they are as of.
+    """Rows read from the store, with the time and version of the reading.
 
     Attributes:
         rows: The rows that were read.
@@ -76,9 +80,10 @@
         self.eras = eras.EraTracker()
         self._last_refused_era: str | None = None
         self._peer = f"{address[0]}:{address[1]}"
-        # This node's clock minus the store's, as a lower bound: each call was
-        # answered after it was sent. Starts anew with each era, since the clock
-        # of a restored store may have jumped.
+        # A lower bound of this node's clock minus the store's. The store reads
+        # its clock after a call was sent, so the time of sending minus the
+        # store's time is never more than the true difference. Reset in each
+        # era, since the clock of a restored store may have jumped.
         self._offset_ms = float("-inf")
         self._offset_era = 0
         self.calls = 0
@@ -132,6 +137,7 @@
         timeout_ms = wait_ms + FEED_MARGIN_MS
         changes = asyncio.ensure_future(
             self._get(words.ROWS_FEED_PATH, query, timeout_ms))
+        # Another call may see first that the store was restored.
         newer_era = asyncio.ensure_future(
             self.eras.wait_for_newer(after.era, timeout_ms))
         try:
@@ -224,7 +230,7 @@
                 logs.line("store-restored", era=era, before=newest, step=step))
 
     def _log_refused_era(self, text: str | None, step: str) -> None:
-        """Logs an era that is not used, once while answers repeat it."""
+        """Logs an unusable era; not again while the next answers repeat it."""
         told = text or "none"
         if told == self._last_refused_era:
             return
@@ -241,9 +247,10 @@
             version = int(answer["schemaVersion"])
             store_ms = float(answer["nowMs"])
         except (KeyError, TypeError, ValueError, binascii.Error) as error:
-            raise exceptions.StoreError(f"malformed rows: {error!r}",
-                                        step="rows",
-                                        peer=self._peer) from error
+            raise exceptions.StoreError(
+                f"malformed answer with rows: {error!r}",
+                step="rows",
+                peer=self._peer) from error
         era = self.eras.newest
         if era != self._offset_era:
             self._offset_ms = float("-inf")
--- a/cardamommill/platform/words.py
+++ b/cardamommill/platform/words.py
@@ -1,20 +1,26 @@
 """Names of headers, paths, tables and states that the platform defines."""
 
-# Headers. The client sets the attempt id; "at most once" holds per attempt id.
+# Headers. The caller chooses the attempt id and the runner's answer repeats it;
+# "at most once" holds per attempt id.
 ATTEMPT_ID = "X-Cardamommill-Attempt-Id"
 DEADLINE_MS = "X-Cardamommill-Deadline-Ms"
+# The id of the runner that a request is for, and of the one that received it.
+# An "instance" is one incarnation of a runner, as `model.Runner.id` names it.
 EXPECT_INSTANCE = "X-Cardamommill-Expect-Instance"
 INSTANCE_ID = "X-Cardamommill-Instance-Id"
 LAST_EVENT_ID = "Last-Event-Id"
 MODEL = "X-Cardamommill-Model"
+# In a refusal: the request was not executed.
 NOT_EXECUTED = "X-Cardamommill-Not-Executed"
 # "R,W,S": running requests, waiting requests and slots of the runner.
 SERVER_LOAD = "X-Cardamommill-Server-Load"
 REQUEST_PRIORITY = "X-Cardamommill-Request-Priority"
+# A 2xx without it is not accepted as the answer of a runner.
 SEAL = "X-Cardamommill-Response-Seal"
 TENANT = "X-Cardamommill-Tenant"
 # "IN,OUT": tokens of the prompt, and the most tokens that the answer may have.
 TOKEN_COUNTS = "X-Cardamommill-Token-Counts"
+# How many tokens the caller expects the answer to have.
 LENGTH_HINT = "X-Cardamommill-Length-Hint"
 # In the store's answers: rises by one each time the store is restored.
 STORE_ERA = "Store-Era"
@@ -35,6 +41,7 @@
 ROWS_FEED_PATH = "/cardamommill/rows-feed"
 ROWS_TX_PATH = "/cardamommill/rows-tx"
 
+# The runner list; the platform calls a runner a server here and in headers.
 SERVERS_TABLE = "servers"
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -58,7 +58,7 @@
     lambda wire: wire["routes"][0].update(prefix="no-slash"),
     lambda wire: wire["tenants"][0].update(apiKeys="secret-key"),
 ])
-def test_invalid_configuration_is_refused_without_naming_keys(change):
+def test_error_for_invalid_configuration_holds_no_api_key(change):
     with pytest.raises(exceptions.BadPeerMessage) as caught:
         decode(change)
     assert "secret-key" not in str(caught.value)
--- a/tests/platform/test_storecalls.py
+++ b/tests/platform/test_storecalls.py
@@ -25,11 +25,11 @@
 
 def test_whole_table_is_read_with_its_time():
 
-    async def script(store, calls):
+    async def script(store, client):
         for number in range(700):
             store.put("servers", f"i-{number:04d}", {"n": number})
         sent_ms = clock.now_ms()
-        rows = await calls.table("servers")
+        rows = await client.table("servers")
         assert len(rows.rows) == 700
         assert sent_ms <= rows.as_of_ms <= clock.now_ms()
 
@@ -38,13 +38,13 @@
 
 def test_feed_answers_at_once_when_something_changes():
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {"version": 1})
-        rows = await calls.table("op")
+        rows = await client.table("op")
         asyncio.get_running_loop().call_later(0.5, store.put, "op", "config",
                                               {"version": 2})
         began_ms = clock.now_ms()
-        rows = await calls.feed("op", rows.position, 1500)
+        rows = await client.feed("op", rows.position, 1500)
         assert [each.key for each in rows.rows] == ["config"]
         assert 500 <= clock.now_ms() - began_ms < 520
 
@@ -52,13 +52,13 @@
 
 
 def test_feed_without_changes_is_as_of_its_end():
-    # Dated at its sending, the answer would be older by the feed's whole wait,
-    # and valid API keys would be refused as unconfirmed.
+    # If the rows were dated when the request was sent, they would seem older by
+    # the feed's whole wait, and valid API keys would be refused as unconfirmed.
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {})
-        rows = await calls.table("op")
-        rows = await calls.feed("op", rows.position, 1500)
+        rows = await client.table("op")
+        rows = await client.feed("op", rows.position, 1500)
         assert not rows.rows
         assert clock.now_ms() - rows.as_of_ms < 20
 
@@ -67,13 +67,13 @@
 
 def test_lost_history_is_reported():
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {})
         store.put("op", "config", {})
-        await calls.table("servers")
+        await client.table("servers")
         store.compact()
         with pytest.raises(storecalls.HistoryLost):
-            await calls.feed("op", eras.TablePosition(store.era, 0), 100)
+            await client.feed("op", eras.TablePosition(store.era, 0), 100)
 
     run(script)
 
@@ -81,22 +81,22 @@
 @pytest.mark.parametrize("fault", ["silent", "busy", "reset"])
 def test_error_of_failing_store_names_step_and_peer(fault):
 
-    async def script(store, calls):
+    async def script(store, client):
         store.fault = fault
         with pytest.raises(exceptions.StoreError) as caught:
-            await calls.table("servers")
+            await client.table("servers")
         assert caught.value.step and caught.value.peer
 
     run(script)
 
 
-def test_only_own_tables_may_be_written():
+def test_nodes_may_write_only_their_own_tables():
 
-    async def script(store, calls):
-        await calls.put("nodes", "n", b"10.0.0.1")
+    async def script(store, client):
+        await client.put("nodes", "n", b"10.0.0.1")
         assert store.get("nodes", "n") == b"10.0.0.1"
         with pytest.raises(exceptions.StoreError):
-            await calls.put("servers", "i", b"x")
+            await client.put("servers", "i", b"x")
 
     run(script)
 
@@ -108,17 +108,17 @@
     written under the same versions since the restore.
     """
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {"version": 1})
         await asyncio.sleep(1.0)
         store.put("op", "config", {"version": 2})
-        before = await calls.table("op")
+        before = await client.table("op")
         store.restore(500)
         store.put("op", "config", {"version": 3})
         store.put("op", "other", {})
         with pytest.raises(storecalls.Restored):
-            await calls.feed("op", before.position, 100)
-        after = await calls.table("op")
+            await client.feed("op", before.position, 100)
+        after = await client.table("op")
         assert after.position > before.position
         assert {each.key for each in after.rows} == {"config", "other"}
 
@@ -127,15 +127,15 @@
 
 def test_waiting_feed_ends_when_another_call_sees_the_restore():
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {})
-        rows = await calls.table("op")
+        rows = await client.table("op")
         waiting = asyncio.get_running_loop().create_task(
-            calls.feed("op", rows.position, 2000))
+            client.feed("op", rows.position, 2000))
         await asyncio.sleep(0.2)
         store.era += 1
         began_ms = clock.now_ms()
-        await calls.table("servers")
+        await client.table("servers")
         with pytest.raises(storecalls.Restored):
             await waiting
         assert clock.now_ms() - began_ms < 50
@@ -146,12 +146,12 @@
 @pytest.mark.parametrize("text", [None, "", "soon", "-3", "9" * 40])
 def test_unreadable_era_changes_nothing(text):
 
-    async def script(store, calls):
+    async def script(store, client):
         store.put("op", "config", {})
-        rows = await calls.table("op")
-        calls._observe_era(text, "test")
-        assert calls.eras.newest == store.era
-        again = await calls.feed("op", rows.position, 50)
+        rows = await client.table("op")
+        client._observe_era(text, "test")
+        assert client.eras.newest == store.era
+        again = await client.feed("op", rows.position, 50)
         assert again.position == rows.position
 
     run(script)
@@ -159,14 +159,14 @@
 
 def test_answer_of_older_era_is_refused():
 
-    async def script(store, calls):
+    async def script(store, client):
         store.era = 3
-        await calls.table("op")
+        await client.table("op")
         store.era = 2
         with pytest.raises(exceptions.StoreError):
-            await calls.table("op")
-        assert calls.eras.newest == 3
+            await client.table("op")
+        assert client.eras.newest == 3
         store.era = 3
-        await calls.table("op")
+        await client.table("op")
 
     run(script)
