--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _RaisedAlarm:
-    """An alarm to report: since when, and which members did not answer."""
+    """An alarm to report; as `peermessage.Alarm`, but with its time."""
 
     at_ms: float
     confirmed: bool
@@ -73,7 +73,7 @@
 
         Args:
             view: The node's view of runners and groups.
-            requests: The node's requests.
+            requests: Dispatches the node's requests to groups.
             group_controller: Probes runners.
             node_metrics: Counts silent groups.
             confirmed_alarm_ms: How long a group with a dead member is avoided.
@@ -90,9 +90,11 @@
         self._send_updates = send_updates
         self._spawn = spawn
         self._alarms: dict[model.GroupKey, _RaisedAlarm] = {}
+        # When this node last probed a group, and a runner marked as down.
         self._probed_ms: dict[model.GroupKey, float] = {}
         self._down_probed_ms: dict[str, float] = {}
-        # When a peer reported that it probes a group.
+        # When a peer last began to probe a group; it sends an unconfirmed alarm
+        # then.
         self._probed_by_peer_ms: dict[model.GroupKey, float] = {}
         # The group last found down in each data centre.
         self._last_down_group: dict[str, _DownGroup] = {}
@@ -119,16 +121,17 @@
             self._handle_silent_group(key, now_ms)
         for key in self._requests.silence.stalled(now_ms):
             self._give_up(key,
-                          "group stands still",
+                          "group stalled",
                           now_ms + availablegroups.STALLED_AVOID_MS,
                           is_dead=False)
 
     def probe_down_runners(self, now_ms: float, data_centre: str = "") -> None:
         """Probes runners that are marked as down but are still listed.
 
-        A dead runner has left the list by then. Without these probes, only a
-        planner's probe would clear the mark: after a data centre had been
-        unreachable, its groups got no requests from remote nodes any more.
+        A runner that is really dead leaves the list, so one that is still
+        listed may be alive. Without these probes, only a planner's probe would
+        clear the mark: after a data centre had been unreachable, its groups got
+        no requests from remote nodes any more.
 
         Args:
             now_ms: The time.
@@ -139,18 +142,18 @@
             if not known.down_ms or not known.listed:
                 continue
             has_returned = known.runner.data_centre == data_centre
-            after_ms = (RETURN_PROBE_INTERVAL_MS
-                        if has_returned else self._confirmed_alarm_ms / 2)
+            min_interval_ms = (RETURN_PROBE_INTERVAL_MS if has_returned else
+                               self._confirmed_alarm_ms / 2)
             runner = known.runner.id
             probed_ms = max(known.unanswered_ms,
                             self._down_probed_ms.get(runner, float("-inf")))
-            if now_ms - probed_ms < after_ms:
+            if now_ms - probed_ms < min_interval_ms:
                 continue
             self._down_probed_ms[runner] = now_ms
             self._spawn(self._probe_runner(runner))
 
     async def _probe_runner(self, runner: str) -> None:
-        await self._group_controller.probe(runner, "did not answer")
+        await self._group_controller.probe(runner, "marked as down, but listed")
 
     def _handle_silent_group(self, key: model.GroupKey, now_ms: float) -> None:
         """Probes the members of a silent group, and avoids it meanwhile.
@@ -184,6 +187,7 @@
                  reason: str,
                  until_ms: float,
                  is_dead: bool = True) -> None:
+        """Avoids a group until a time, and diverts its requests."""
         _LOG.warning(
             logs.line("group-given-up",
                       group=key,
@@ -194,8 +198,8 @@
 
     def _divert_requests(self, key: model.GroupKey, reason: str,
                          is_dead: bool) -> None:
-        for one in self._requests.relays_at(key):
-            one.divert(reason, is_dead)
+        for relay in self._requests.relays_at(key):
+            relay.divert(reason, is_dead)
 
     def probe(self,
               key: model.GroupKey,
@@ -244,9 +248,9 @@
             if not answered
         }
         if not silent & was_up:
-            # These members were down already. When that was reported and probed
-            # again, two dead groups kept all nodes probing and reporting
-            # without end.
+            # These members were already known to be down. When each probe of
+            # them led to a new alarm and to probes of related groups, two dead
+            # groups kept all nodes probing and reporting without end.
             self._divert_requests(key, "member does not answer", is_dead=True)
             return
         self._alarms[key] = _RaisedAlarm(
@@ -315,9 +319,12 @@
     def _receive_confirmed(self, alarm: peermessage.Alarm, peer: str,
                            since_ms: float, now_ms: float) -> bool:
         if self._requests.silence.has_recent_event(alarm.key, now_ms):
-            # The group answers this node, so the peer itself may be cut off.
+            # The group sends events to this node, so the peer itself may be cut
+            # off.
             return False
         until_ms = since_ms + self._confirmed_alarm_ms
+        # Alarms about one failure differ in age. If the group is avoided for
+        # almost as long already, this alarm is not new.
         if self._requests.available_groups.is_avoided(alarm.key,
                                                       until_ms - SAME_CAUSE_MS):
             return False
--- a/cardamommill/gateway/backpressure.py
+++ b/cardamommill/gateway/backpressure.py
@@ -1,4 +1,9 @@
-"""Backpressure that runners signal in answers: rate limits, rests, leaving."""
+"""Backpressure that runners signal in answers.
+
+A runner can set a rate limit for all nodes together, ask this node for a rest
+(to send nothing until the time in Retry-After is over), or tell that it is
+leaving.
+"""
 
 from collections.abc import Iterator
 import contextlib
--- a/cardamommill/gateway/election.py
+++ b/cardamommill/gateway/election.py
@@ -2,7 +2,8 @@
 
 from cardamommill.gateway import peermessage
 
-# Two nodes that began to plan within this time could not know of each other.
+# Two nodes that began to plan less than this time apart may not have known of
+# each other.
 SIMULTANEOUS_START_MS = 500.0
 
 
@@ -11,9 +12,9 @@
 
     Each node decides for itself, so that one node plans for each data centre. A
     planner stays planner while it is alive, since a node that returns does not
-    know which work is under way. Without a planner, the live node of the data
-    centre with the lowest name takes over. If there is none, the live node with
-    the lowest name of all does.
+    know which work is under way. Without a planner, the data centre's live node
+    with the lowest name takes over. If the data centre has no live node, the
+    live node with the lowest name of all does.
     """
 
     def __init__(self, node: str, data_centre: str) -> None:
--- a/cardamommill/gateway/loadsums.py
+++ b/cardamommill/gateway/loadsums.py
@@ -1,8 +1,8 @@
 """Sums of the load at each group, exchanged between data centres.
 
 If each node sent its loads to each other node, the number of messages would
-grow with the square of the number of nodes, and each message would be so rare
-that requests were placed by loads of twenty seconds ago. Instead, the reporters
+grow with the square of the number of nodes. Messages would have to be so rare
+that loads used for placement were twenty seconds old. Instead, the reporters
 of a data centre send its load sums to the reporters of the others, and these
 relay them within their own data centre.
 """
@@ -15,9 +15,10 @@
 # Reporters of a data centre: a second one in case the first fails.
 REPORTER_COUNT = 2
 REPORT_INTERVAL_MS = 500.0
-# Allows for two lost reports and for the way through two nodes.
+# Allows for two lost reports and for the delay in the two reporters.
 MAX_SUMS_AGE_MS = 3.5 * REPORT_INTERVAL_MS
 
+# By the short ID of the group.
 Loads = dict[int, inflight.GroupLoad]
 
 
@@ -54,7 +55,8 @@
     def __init__(self) -> None:
         # By data centre, from its reporters; only reporters receive these.
         self._received: dict[str, tuple[float, Loads]] = {}
-        # The total of the current reports, and the reports that it is from.
+        # The cached total of the current reports, and the reports that it was
+        # computed from.
         self._total: Loads = {}
         self._total_inputs: dict[str, tuple[float, Loads]] = {}
         # The total of all remote data centres, from a reporter of this one.
@@ -97,8 +99,9 @@
 
         Sums that are too old are left out.
         """
-        own = self.sums_to_relay(now_ms)
-        if own is not None:
-            return own.loads
+        received = self.sums_to_relay(now_ms)
+        if received is not None:
+            return received.loads
         as_of_ms, loads = self._relayed
+        # They may have had the maximum age already when they were relayed.
         return loads if now_ms - as_of_ms < 2 * MAX_SUMS_AGE_MS else {}
--- a/cardamommill/gateway/nodelink.py
+++ b/cardamommill/gateway/nodelink.py
@@ -16,10 +16,10 @@
 )
 from cardamommill.platform import storecalls, words
 
-# How often a node reads the table of nodes, to which each new node adds itself
-# and to whose nodes it sends messages. In a large fleet, the interval is the
-# one per node times the number of nodes, which bounds the reads of all nodes
-# together. A node without live peers reads more often.
+# How often a node reads the table of nodes. Each new node adds itself to this
+# table and sends messages to the nodes in it. In a large fleet, the interval
+# grows with the number of nodes, which bounds the reads of all nodes together.
+# A node without live peers reads more often.
 DISCOVERY_INTERVAL_MS = 20_000.0
 DISCOVERY_INTERVAL_PER_NODE_MS = 3300.0
 ISOLATED_DISCOVERY_INTERVAL_MS = 2000.0
@@ -31,12 +31,13 @@
 # read tables, and how often it checks. Peers answer within a tick or two.
 MAX_PEER_WAIT_MS = 120.0
 PEER_POLL_INTERVAL_MS = 10.0
-# Nodes that start together receive each other's messages one by one. Which of
-# them read from the store is known only after this long without a new peer:
-# going by the first two peers, half of a fleet took themselves for readers.
+# Nodes that start together receive each other's messages one by one. A node can
+# tell which of them read from the store only after this long without a new
+# peer: when nodes decided by their first two peers, half of a fleet considered
+# themselves readers.
 NO_NEW_PEER_MS = 30.0
 # With at most this many other nodes, a starting node does not wait.
-SMALL_FLEET = 10
+MAX_PEERS_WITHOUT_WAIT = 10
 
 _LOG = logbook.Logger("peers")
 
@@ -56,7 +57,8 @@
         Args:
             settings: The address to listen on, and the seeds.
             others: The membership of other nodes.
-            compose: Returns the message for an update scope at a time.
+            compose: Returns the message to send at a given time, with the parts
+                of an update scope.
             heard: Called with each received message and its time.
             on_return: Called with the data centre of a peer that was not alive
                 and is now.
@@ -132,7 +134,7 @@
         heard = 0
         while clock.now_ms() - began_ms < MAX_PEER_WAIT_MS:
             others = self._peers.peers.values()
-            if self._has_read_nodes and len(others) <= SMALL_FLEET:
+            if self._has_read_nodes and len(others) <= MAX_PEERS_WITHOUT_WAIT:
                 return
             near = sum(each.is_near for each in others)
             if near > heard:
@@ -188,5 +190,6 @@
         self._on_datagram(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        # A peer whose process is gone. Its liveness timeout handles that.
+        # The system reports that a peer's port is closed, as its process is
+        # gone. The peer's liveness timeout handles that.
         del exc
--- a/cardamommill/gateway/peermessage.py
+++ b/cardamommill/gateway/peermessage.py
@@ -46,7 +46,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenedGroup:
-    """A group that was opened, as reported by its planner."""
+    """A group that was opened, as reported by its planner.
+
+    Attributes:
+        key: The group.
+        model: The name of its model.
+        head: The runner ID of its head.
+    """
 
     key: model.GroupKey
     model: str
@@ -71,12 +77,13 @@
         in_flight: The sender's load at each group.
         alarms: Groups recently found silent or down.
         opened_groups: Recently opened groups.
-        attempt_histories: Runners that recently failed requests.
+        attempt_histories: Attempts at runners that recently failed requests.
         has_seen_requests: Whether the sender has received any caller's request.
         stopping: Whether the sender is shutting down.
         planning_age_ms: How long the sender has planned, by data centre.
-        load_sums: Only from a reporter: to remote data centres the load sums of
-            its own one, to its own one those of all others.
+        load_sums: Sent by reporters only. A message to a remote data centre
+            contains the load sums of the sender's data centre, a message within
+            that data centre the load sums of all others.
         has_lost_store: Whether the sender's calls to the store fail.
         limits: Rate limits that runners recently set or lifted; times are by
             the sender's clock.
@@ -114,7 +121,7 @@
 
 
 def encode_body(message: PeerMessage) -> bytes:
-    """Packs the part for all receivers, without loads that do not fit."""
+    """Returns the body for all receivers, without loads that do not fit."""
     in_flight = [[key.name, key.epoch, *_load_fields(load)]
                  for key, load in message.in_flight.items()]
     load_sums = [[short_id, *_load_fields(load)] for short_id, load in (
@@ -173,6 +180,7 @@
         (node, incarnation, data_centre, sent_ms, version, age, in_flight,
          alarms, opened_groups, attempt_histories, has_seen_requests, stopping,
          planning_age_ms, load_sums, has_lost_store, limits) = fields
+        # Nodes of older versions send alarms without `silent`.
         return PeerMessage(
             str(node), int(incarnation), str(data_centre), float(sent_ms),
             echo_ms, interval_ms, int(version), float(age), {
@@ -219,7 +227,8 @@
            origin_ms: Any) -> ratelimits.RateLimit:
     rate = None if per_s is None else float(per_s)
     if rate is not None and not 0 <= rate < math.inf:
-        raise ValueError(f"rate limit not finite and at least 0: {rate}")
+        raise ValueError(
+            f"rate limit {rate} per second is negative or not finite")
     return ratelimits.RateLimit(str(runner), rate, sent_ms - float(age_ms),
                                 str(origin), float(origin_ms))
 
--- a/cardamommill/gateway/peers.py
+++ b/cardamommill/gateway/peers.py
@@ -28,8 +28,8 @@
 # rest.
 SMALL_FLEET_NODES = 6
 MIN_REMOTE_MESSAGES_PER_S = 2.0
-# Upper bound on a planner's heartbeat interval, so that its failure is
-# detected.
+# Upper bound on a planner's heartbeat interval, so that its failure is detected
+# quickly.
 PLANNER_HEARTBEAT_MS = 400.0
 # A peer is dead after three missed heartbeats, with a margin for a busy node.
 ALIVE_INTERVALS = 3.5
@@ -50,8 +50,9 @@
 # Keeps a rounding error from delaying a message by a tick.
 DUE_MARGIN_MS = 1.0
 # How long the in-flight counts of a peer are used: this long, or for this many
-# of its message intervals, whichever is longer.
-MAX_LOAD_AGE_MS = 1500.0
+# of its message intervals, whichever is longer. While messages to remote peers
+# are no rarer than this, they contain full updates.
+MIN_LOAD_LIFETIME_MS = 1500.0
 LOAD_INTERVALS = 2.5
 # A data centre whose reporters have been silent for this long counts as having
 # no live nodes, though the liveness timeouts of its nodes have not expired yet.
@@ -61,7 +62,8 @@
 class UpdateScope(enum.Enum):
     """Which parts of this node's state a peer is sent."""
 
-    # All state; a reporter adds the load sums of remote data centres.
+    # All state; a reporter adds the load sums of remote data centres. Also sent
+    # to remote peers while the fleet is small.
     NEAR = "near"
     # The load sums of this data centre instead of this node's own loads.
     REPORTER = "reporter"
@@ -97,7 +99,7 @@
     is_load_counted: bool = False
     is_near: bool = False
     liveness_timeout_ms: float = _liveness_timeout_ms(HEARTBEAT_MS)
-    load_lifetime_ms: float = MAX_LOAD_AGE_MS
+    load_lifetime_ms: float = MIN_LOAD_LIFETIME_MS
     expires_ms: float = float("inf")
 
     def is_alive(self, now_ms: float) -> bool:
@@ -117,7 +119,7 @@
         self.last_message = message
         self.is_near = message.data_centre == data_centre
         self.liveness_timeout_ms = _liveness_timeout_ms(message.interval_ms)
-        self.load_lifetime_ms = max(MAX_LOAD_AGE_MS,
+        self.load_lifetime_ms = max(MIN_LOAD_LIFETIME_MS,
                                     LOAD_INTERVALS * message.interval_ms)
         self.expires_ms = now_ms + max(
             EXPIRY_MS, EXPIRY_LIVENESS_TIMEOUTS * self.liveness_timeout_ms)
@@ -175,8 +177,8 @@
         was_alive, was_near = peer.is_alive(now_ms), peer.is_near
         if (peer.last_message is None or
                 peer.last_message.incarnation != message.incarnation):
-            # The peer has just started. Send to it at once, as it takes its
-            # tables from the first nodes that send to it.
+            # The peer has just started. Send to it at once, as it reads the
+            # store's tables from the first nodes that send to it.
             was_alive = False
             peer.sent_ms = float("-inf")
         self._remove_load(peer)
@@ -219,8 +221,8 @@
         """Returns the peers for an urgent update, and marks them as sent to.
 
         In remote data centres only the reporters are sent to, and they relay
-        the update. Sent to each node, urgent updates were most of the bytes
-        between data centres.
+        the update. When urgent updates were sent to each remote node, they were
+        most of the bytes between data centres.
 
         Args:
             now_ms: The time.
@@ -238,15 +240,20 @@
         return found
 
     def update_scope(self, peer: Peer) -> UpdateScope:
-        """Returns which parts of this node's state a peer is sent."""
-        if peer.is_near or self._remote_interval_ms <= MAX_LOAD_AGE_MS:
+        """Returns which parts of this node's state a peer is sent.
+
+        In a small fleet, messages to remote peers are frequent enough for
+        placement and contain this node's own loads. Otherwise remote peers get
+        load sums, and only from a reporter to a reporter.
+        """
+        if peer.is_near or self._remote_interval_ms <= MIN_LOAD_LIFETIME_MS:
             return UpdateScope.NEAR
         if self.is_reporter and peer.address in self._remote_reporters:
             return UpdateScope.REPORTER
         return UpdateScope.FAR
 
     def choose_reporters(self, now_ms: float) -> None:
-        """Chooses as reporters the first nodes of each data centre by name."""
+        """Makes the first nodes of each data centre, by name, its reporters."""
         first = {
             place:
                 frozenset(address for _, address in heapq.nsmallest(
@@ -260,7 +267,7 @@
             self._reset_next_due()
 
     def live_nodes(self, now_ms: float) -> dict[str, list[str]]:
-        """Returns the names of live nodes by data centre, with this one."""
+        """Returns the live nodes' names by data centre, this node included."""
         return {
             place: [name for name, _ in nodes]
             for place, nodes in self._live_nodes_with_addresses(now_ms).items()
@@ -311,6 +318,7 @@
         if self.update_scope(peer) is UpdateScope.REPORTER:
             interval_ms = loadsums.REPORT_INTERVAL_MS
         if now_ms - peer.heard_ms > 2 * peer.liveness_timeout_ms:
+            # It is probably dead; these messages only discover its return.
             interval_ms = max(interval_ms, SEED_INTERVAL_MS)
         return interval_ms
 
@@ -340,10 +348,10 @@
         ]
 
     def nodes(self, now_ms: float) -> int:
-        """Returns how many nodes share limits: the most ever seen at once.
+        """Returns how many nodes share the retry budget.
 
-        An isolated node does not see the others, but they go on sending retries
-        too.
+        This is the largest number ever seen at once: an isolated node does not
+        see the others, but they go on sending retries too.
         """
         count = 1 + sum(
             now_ms - each.heard_ms < max(EXPIRY_MS, each.liveness_timeout_ms)
@@ -353,7 +361,7 @@
 
     def planned_data_centres(self, data_centres: tuple[str, ...],
                              now_ms: float) -> frozenset[str]:
-        """Returns the data centres that this node plans for."""
+        """Updates and returns the data centres that this node plans for."""
         if now_ms - self._started_ms < SETTLE_MS:
             return frozenset()
         messages = [
@@ -403,13 +411,13 @@
     def load_age_ms(self) -> float:
         """Returns the mean age of reported loads, from the message intervals.
 
-        Load sums of remote data centres wait for two messages: the reporter's
-        and the one that relays it.
+        Load sums of remote data centres wait for two messages: that of the
+        remote reporter, and that of the local reporter which relays them.
         """
         if not self.peers:
             return 0.0
         age_ms = self._near_interval_ms / 2
-        if self._remote_interval_ms > MAX_LOAD_AGE_MS:
+        if self._remote_interval_ms > MIN_LOAD_LIFETIME_MS:
             age_ms += loadsums.REPORT_INTERVAL_MS / 2
         return age_ms
 
--- a/cardamommill/gateway/ratelimits.py
+++ b/cardamommill/gateway/ratelimits.py
@@ -14,7 +14,7 @@
 from cardamommill.gateway import clock
 
 # Lower bound on the rate: a runner with a limit of 0 still gets a request now
-# and then, or it could not lift its limit.
+# and then, since it can lift its limit only in an answer.
 MIN_PER_S = 0.2
 # Burst that a node may save up, in seconds of its share; at least one request.
 BURST_S = 0.25
@@ -40,8 +40,8 @@
     Attributes:
         runner: The runner's ID.
         per_s: Requests per second from all nodes; None for no limit.
-        as_of_ms: When the limit was last known to hold. In messages to peers it
-            is replaced by its age.
+        as_of_ms: When the limit was last known to hold. Messages to peers
+            contain the time since then instead.
         origin: The node that received the limit from the runner.
         origin_ms: When that was, by that node's clock.
     """
@@ -62,7 +62,11 @@
         return now_ms - self.as_of_ms > STALE_MS
 
     def turn(self, now_ms: float) -> int:
-        """Returns how many requests it has permitted since its confirmation."""
+        """Returns the number of the current turn.
+
+        A turn is the time for one request at the permitted rate; turns are
+        counted from the last confirmation.
+        """
         return int((now_ms - self.as_of_ms) // self.interval_ms)
 
     def supersedes(self, before: "RateLimit | None") -> bool:
@@ -80,9 +84,9 @@
     """Token bucket for the requests of this node to a limited runner.
 
     Attributes:
+        at_ms: When tokens were last added.
         tokens: Requests that may be sent now.
         share_per_s: Tokens added per second.
-        at_ms: When tokens were last added.
         share_set_ms: When the share was last computed.
         turn: The last turn that this node used while the limit was stale.
     """
@@ -212,7 +216,7 @@
 
         Returns:
             The time in ms, 0 for now. For a node without a share of the limit,
-            the time between two requests of any nodes.
+            the time between two requests that the limit permits the fleet.
         """
         limit = self._limits.get(runner)
         if limit is None or limit.per_s is None:
--- a/cardamommill/gateway/reliability.py
+++ b/cardamommill/gateway/reliability.py
@@ -36,14 +36,16 @@
 # the request.
 DOUBT_THRESHOLD = 0.5
 # A doubted runner gets no requests for this long after a failure if any other
-# runner is available. By then, nodes of the same data centre have reported it.
+# runner is available. By then, the nodes of a data centre have reported the
+# failure to each other.
 COOLDOWN_MS = 500.0
 # How many of a runner's last failures count, and how many of each node's last
 # successes: enough to recognize a failure rate of one in ten.
 MAX_FAILURES = 5
 MAX_SUCCESSES = 30
-# Nodes report only recent failures, the newest first. If they relayed all that
-# they remember, delays on the way would keep failures alive for ever.
+# Nodes report only recent failures, the newest first. A delay on the way makes
+# a failure look newer, so if nodes relayed all that they remember, failures
+# would never expire.
 MAX_REPORTED_AGE_MS = 3000.0
 MAX_REPORTED_FAILURES = 2
 MAX_REPORTED_RUNNERS = 12
@@ -128,10 +130,10 @@
         """
         found = []
         for runner in sorted(self._doubted | self._failures.keys()):
-            odds = self.fail_odds(runner, now_ms)
-            if (odds > DOUBT_THRESHOLD) is not (runner in self._doubted):
+            probability = self.fail_odds(runner, now_ms)
+            if (probability > DOUBT_THRESHOLD) is not (runner in self._doubted):
                 self._doubted ^= {runner}
-                found.append((runner, odds))
+                found.append((runner, probability))
         return found
 
     def is_cooling_down(self, runner: str, now_ms: float) -> bool:
@@ -175,8 +177,9 @@
                 now_ms: float) -> None:
         """Processes the reports of a peer.
 
-        A failure counts once, also if several peers report it or if it comes
-        back to this node. Of each peer's successes, the last report counts.
+        A failure counts once, even if several peers report it or if a peer
+        relays this node's own report. Of each peer's successes, only those in
+        its last report count.
         """
         for each in told:
             for request, age_ms in each.failures:
@@ -209,5 +212,5 @@
 
 
 def _weight(age_ms: float) -> float:
-    """Returns the weight of a failure of an age."""
+    """Returns the weight of a failure of the given age."""
     return math.exp2(-max(0.0, age_ms) / HALF_LIFE_MS)
--- a/cardamommill/gateway/silence.py
+++ b/cardamommill/gateway/silence.py
@@ -1,7 +1,7 @@
-"""Detects groups of which no stream brings events any more.
+"""Detects groups whose streams no longer bring events.
 
-Silence alone is no proof of a failure: prompts from other nodes can delay a
-group for longer than this node can know. So the members of a silent group are
+Silence alone is no proof of a failure: prompts from other nodes, of which this
+node does not know, can delay a group. So the members of a silent group are
 probed first. Its requests are diverted only if a member does not answer, or if
 the silence exceeds the longest possible pause between two events (a stall).
 """
@@ -20,9 +20,9 @@
 # A group whose members answer is stalled after this many of the longest passes
 # without any event.
 STALL_PASSES = 2.0
-# Lower bound on the stall time, from when the event was due, if requests have
-# been sent but no event has come yet: the number of prompts from other nodes is
-# not known.
+# Lower bound on the stall time of a group whose requests have no event so far,
+# measured from when the first event was due. That time is uncertain, since the
+# number of prompts from other nodes is not known.
 MIN_STALL_MS = 600.0
 # Weight of the newest gap in the moving average.
 GAP_SMOOTHING = 0.2
@@ -40,8 +40,8 @@
         streaming: Requests with events, with the time of the last one.
         last_event_ms: When the last event of any request came.
         mean_gap_ms: Moving average of the gaps between a request's events.
-        reading_until_ms: When the group should have read all prompts that this
-            node has sent.
+        prefill_until_ms: When the prefill of all prompts that this node has
+            sent should be done.
         is_silent: Whether it was found silent and no event has come since.
         is_stalled: Whether it was found stalled and no event has come since.
     """
@@ -52,7 +52,7 @@
     streaming: dict[str, float] = dataclasses.field(default_factory=dict)
     last_event_ms: float = 0.0
     mean_gap_ms: float = 0.0
-    reading_until_ms: float = 0.0
+    prefill_until_ms: float = 0.0
     is_silent: bool = False
     is_stalled: bool = False
 
@@ -64,7 +64,7 @@
     Attributes:
         pass_ms: Duration of a forward pass.
         max_pass_ms: Duration of a pass with the most prompt tokens.
-        prefill_ms: Duration of reading the request's prompt.
+        prefill_ms: Duration of the prefill of the request's prompt.
         first_event_ms: Time from sending the request to its first event.
     """
 
@@ -88,7 +88,7 @@
         watch.pass_ms = expected.pass_ms
         watch.max_pass_ms = expected.max_pass_ms
         watch.waiting[request] = now_ms + expected.first_event_ms
-        watch.reading_until_ms = (max(watch.reading_until_ms, now_ms) +
+        watch.prefill_until_ms = (max(watch.prefill_until_ms, now_ms) +
                                   expected.prefill_ms)
 
     def event(self, key: model.GroupKey, request: str, now_ms: float) -> None:
@@ -118,6 +118,7 @@
         found = []
         for key, watch in list(self._watches.items()):
             if not watch.waiting and not watch.streaming:
+                # Forget groups that this node has not used for 10 s.
                 if now_ms - watch.last_event_ms > 10_000:
                     del self._watches[key]
                 continue
@@ -137,23 +138,25 @@
         return found
 
     def has_recent_event(self, key: model.GroupKey, now_ms: float) -> bool:
-        """Whether the last event of a group is too recent for silence."""
+        """Whether a group's last event is too recent for it to be silent."""
         watch = self._watches.get(key)
         return (watch is not None and
-                now_ms - watch.last_event_ms < _allowed_ms(watch))
+                now_ms - watch.last_event_ms < _max_event_gap_ms(watch))
 
 
-def _allowed_ms(watch: GroupWatch) -> float:
+def _max_event_gap_ms(watch: GroupWatch) -> float:
+    """Returns the longest time without an event that is not yet silence."""
     return SILENT_PASSES * max(watch.pass_ms, watch.mean_gap_ms) + MARGIN_MS
 
 
 def _is_overdue(watch: GroupWatch, now_ms: float) -> bool:
     if watch.streaming:
+        # Prefill delays the next event, but is allowed for at most 400 ms.
         silent_since_ms = max(
             watch.last_event_ms,
-            min(watch.reading_until_ms, watch.last_event_ms + 400))
-        return now_ms - silent_since_ms > _allowed_ms(watch)
-    return now_ms - _first_due_ms(watch) > (_allowed_ms(watch) +
+            min(watch.prefill_until_ms, watch.last_event_ms + 400))
+        return now_ms - silent_since_ms > _max_event_gap_ms(watch)
+    return now_ms - _first_due_ms(watch) > (_max_event_gap_ms(watch) +
                                             FIRST_EVENT_MARGIN_MS)
 
 
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -186,7 +186,7 @@
 
 def test_requests_are_diverted_from_a_stalled_group():
     bench = run(lambda bench: bench.fall_silent(for_ms=1500))
-    assert bench.relay.reasons == ["group stands still"]
+    assert bench.relay.reasons == ["group stalled"]
     assert not bench.relay.is_dead
 
 
@@ -258,7 +258,10 @@
 
 
 def test_planner_probes_members_that_a_peer_found_silent():
-    """The peer has just probed all 32 members, and 31 of them answered."""
+    """A peer has probed a group of 32 members, and 31 of them answered it.
+
+    Probing these again would be needless.
+    """
 
     def script(bench):
         bench.group_controller.dead = {"i-2"}
--- a/tests/gateway/test_loadsums.py
+++ b/tests/gateway/test_loadsums.py
@@ -61,7 +61,7 @@
 
 
 def test_small_fleet_exchanges_full_updates():
-    """Their messages are frequent enough for placement; sums would be older."""
+    """Its messages are frequent enough for placement; sums would be older."""
     membership = fleet(near=2, far=2)
     assert {
         membership.update_scope(each) for each in membership.peers.values()
@@ -112,7 +112,7 @@
 
 
 def test_load_sums_expire():
-    """Their data centre is cut off, or its reporters have failed."""
+    """Their data centre may be cut off, or its reporters have failed."""
     reporter, other = loadsums.RemoteLoads(), loadsums.RemoteLoads()
     reporter.receive(load_sums(g=2), "b", 1000)
     other.receive(load_sums(g=2), None, 1000)
@@ -142,7 +142,7 @@
 
 
 def test_restarted_peer_gets_a_message_in_the_next_tick():
-    """It takes its tables from the first nodes that send to it.
+    """It reads the store's tables from the first nodes that send to it.
 
     Regular heartbeats are up to a second apart.
     """
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -193,7 +193,7 @@
     Beyond a few nodes, each node sends fewer messages to remote peers.
     """
 
-    def sent_far_per_s(others):
+    def remote_sent_per_s(others):
         one = node()
         sent = 0
         for now_ms in range(10, 12_000, 10):
@@ -208,8 +208,8 @@
             sent += len(due) if now_ms > 2000 else 0
         return sent / 10
 
-    assert 18 <= sent_far_per_s(4) <= 20.5
-    assert sent_far_per_s(80) <= 8.5
+    assert 18 <= remote_sent_per_s(4) <= 20.5
+    assert remote_sent_per_s(80) <= 8.5
 
 
 def due_without_skipping(membership, now_ms):
--- a/tests/gateway/test_ratelimits.py
+++ b/tests/gateway/test_ratelimits.py
@@ -60,7 +60,8 @@
                 if other != name:
                     receiver.receive(told, self.now_ms, self.now_ms)
 
-    def most_in_a_window(self, from_ms):
+    def max_sent_in_window(self, from_ms):
+        """Returns the most requests sent within any `WINDOW_MS`."""
         sent = [each for each in self.sent_ms if each >= from_ms]
         return max((sum(each <= other < each + WINDOW_MS
                         for other in sent)
@@ -106,7 +107,7 @@
     """Nodes that each apply the whole limit would exceed it together."""
     nodes = fleet(per_s, near, far)
     nodes.run(12_000)
-    most = nodes.most_in_a_window(1000)
+    most = nodes.max_sent_in_window(1000)
     assert most <= max(ratelimits.MIN_PER_S, per_s) * WINDOW_MS / 1000 * 1.5 + 5
 
 
@@ -134,7 +135,7 @@
 
 
 def test_nodes_take_turns_to_test_a_stale_limit():
-    """When each node dropped it by itself, each sent a request too many."""
+    """If each node tested it on its own, each would send an extra request."""
     nodes = fleet(1.0, near=20, far=20)
     nodes.run(2000)
     senders = {
@@ -147,7 +148,7 @@
     nodes.run(2000 + 6 * ratelimits.STALE_MS, only=others)
     sent = nodes.sent_ms[before:]
     assert sent
-    assert nodes.most_in_a_window(sent[0]) <= 11
+    assert nodes.max_sent_in_window(sent[0]) <= 11
 
 
 def test_turns_restart_after_each_confirmation():
--- a/tests/gateway/test_reliability.py
+++ b/tests/gateway/test_reliability.py
@@ -15,9 +15,9 @@
     return reliability.Reliability(random.Random(seed))
 
 
-def send_updates(sender, *hearers, now_ms, name="n"):
+def send_updates(sender, *receivers, now_ms, name="n"):
     """Delivers the reports of a node to others, as datagrams do."""
-    for each in hearers:
+    for each in receivers:
         each.receive(sender.updates_for_peers(now_ms), name, now_ms)
 
 
@@ -216,9 +216,9 @@
                                        strategies.integers(0, 9),
                                        strategies.floats(0, 3000)),
                      max_size=200))
-def test_reports_are_bounded_and_relayed_unchanged(tries):
+def test_reports_are_bounded_and_relayed_unchanged(attempts):
     one, other = node(1), node(2)
-    for runner, request, at_ms in tries:
+    for runner, request, at_ms in attempts:
         one.failed(f"i-{runner}", request, at_ms)
     updates = one.updates_for_peers(3000)
     assert len(updates) <= reliability.MAX_REPORTED_RUNNERS
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -13,6 +13,7 @@
 
 
 def streaming(detector, until_ms, start_ms=0.0):
+    """Sends a request, and records an event of each pass until a time."""
     detector.sent(KEY, "r", expected(20.0, 100.0), start_ms)
     now_ms = start_ms + 100
     while now_ms <= until_ms:
@@ -32,9 +33,9 @@
     # two.
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
-    noticed = next(
+    noticed_ms = next(
         now_ms for now_ms in range(2000, 4000, 10) if detector.silent(now_ms))
-    assert noticed <= 2300
+    assert noticed_ms <= 2300
 
 
 def test_silent_group_is_returned_once():
@@ -55,7 +56,7 @@
 
 
 def test_long_pass_is_no_stall():
-    """While prompts from other nodes are read, the next event takes 0.5 s."""
+    """Prefill of prompts from other nodes delays the next event to 0.5 s."""
     detector = silence.SilenceDetector()
     streaming(detector, 2000)
     detector.silent(2400)
