--- a/cardamommill/gateway/availablegroups.py
+++ b/cardamommill/gateway/availablegroups.py
@@ -1,4 +1,4 @@
-"""Determines which groups accept requests, cached per view of the fleet."""
+"""Determines which groups accept requests, cached per version of the view."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -11,7 +11,7 @@
 # long.
 STALLED_AVOID_MS = 1000.0
 # A dead runner's entry expires three heartbeat intervals after its last
-# heartbeat. That one may have come just before the failure, and one interval is
+# heartbeat, which may have been sent just before the failure. One interval is
 # added for delays on the way.
 EXPIRY_HEARTBEATS = 4.0
 
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -37,8 +37,8 @@
     upstream,
 )
 
-# A group that failed a request is avoided for this long, until its members have
-# been probed.
+# A group that failed a request is avoided for this long, while its members are
+# probed.
 FAULT_AVOID_MS = 300.0
 # Beyond this age of its own confirmation of the configuration, this node also
 # uses the confirmations of its peers.
@@ -59,8 +59,8 @@
     def __init__(self, settings: entrysettings.EntrySettings,
                  pool: upstream.Pool, view: fleetview.FleetView,
                  reader: platformreader.PlatformReader,
-                 fresh: freshness.Freshness, others: peers.Peers,
-                 figures: metrics.Metrics,
+                 config_freshness: freshness.Freshness, node_peers: peers.Peers,
+                 node_metrics: metrics.Metrics,
                  spawn: Callable[[Coroutine[Any, Any, None]], None]) -> None:
         """Initialises the instance without requests.
 
@@ -71,9 +71,10 @@
             pool: Connections to runners.
             view: The node's view of the fleet.
             reader: Source of the configuration in force.
-            fresh: Age of the node's confirmation of the configuration.
-            others: The other nodes.
-            figures: Receives the metrics.
+            config_freshness: Age of the node's confirmation of the
+                configuration.
+            node_peers: The other nodes.
+            node_metrics: Receives the metrics.
             spawn: Runs a coroutine in the background until the node stops.
         """
         self._settings = settings
@@ -81,11 +82,11 @@
         self.spawn = spawn
         self._view = view
         self._reader = reader
-        self._freshness = fresh
-        self._peers = others
-        self._metrics = figures
+        self._freshness = config_freshness
+        self._peers = node_peers
+        self._metrics = node_metrics
         self._chance = random.Random(settings.node)
-        self._budgets = retrybudget.RetryBudgets(settings.bounds)
+        self._retry_budgets = retrybudget.RetryBudgets(settings.bounds)
         self._relays: dict[model.GroupKey, dict[relay.Relay, None]] = {}
         self._group_loads = grouploads.GroupLoads()
         self.in_flight_requests = self._group_loads.own
@@ -97,9 +98,10 @@
                                                         settings.data_centre,
                                                         self._chance)
         self.backpressure = backpressure.Backpressure(
-            view, ratelimits.RateLimits(settings.node, others.live_nodes),
-            figures)
-        # When the current attempt was sent, for relays without an event of it.
+            view, ratelimits.RateLimits(settings.node, node_peers.live_nodes),
+            node_metrics)
+        # When the current attempt of a relay was sent; removed with its first
+        # event.
         self._unanswered_since_ms: dict[relay.Relay, float] = {}
         # Called with a group that failed a request, and the reason.
         self.on_fault: Callable[[model.GroupKey, str], None] = _ignore
@@ -111,7 +113,7 @@
     def reload(self, settings: entrysettings.EntrySettings) -> None:
         """Applies changed settings."""
         self._settings = settings
-        self._budgets = retrybudget.RetryBudgets(settings.bounds)
+        self._retry_budgets = retrybudget.RetryBudgets(settings.bounds)
 
     def relays_at(self, key: model.GroupKey) -> list[relay.Relay]:
         """Returns the relays of this node's requests at a group."""
@@ -204,11 +206,11 @@
                                    admitting.DEFAULT_RETRY_AFTER_MS)
         heads: dict[model.GroupKey, fleetview.RunnerRecord] = {}
         candidates = []
-        others = 0
+        others_requests = 0
         for each in self.available_groups.of_model(service.name, served.name):
             heads[each.key] = each.head
             told = self._group_loads.others(each.key)
-            others += told.total_requests
+            others_requests += told.total_requests
             load = self.in_flight_requests.load(each.key).plus(told)
             head = each.head.runner.id
             odds = self.reliability.fail_odds(head, now_ms)
@@ -240,7 +242,7 @@
         requirements = dataclasses.replace(
             one.requirements(self._chance.random()),
             unreported_requests=placing.unreported_requests(
-                engine, served.pace, others, self._group_loads.age_ms),
+                engine, served.pace, others_requests, self._group_loads.age_ms),
             overhead_ms=self.forecast.overhead_ms(service.name))
         placed = placing.place(engine, one.token_counts, candidates, excluded,
                                requirements, self.expected_recovery_ms())
@@ -276,13 +278,13 @@
         """Whether the retry budget of a service allows one more retry."""
         now_ms = clock.now_ms()
         nodes = self._peers.nodes(now_ms)
-        return self._budgets.for_service(service).may_retry(nodes, now_ms)
+        return self._retry_budgets.for_service(service).may_retry(nodes, now_ms)
 
     def on_attempt_start(self, one: relay.Relay, target: relay.Target,
                          repeat: bool) -> None:
-        """Records the start of an attempt."""
+        """Records the start of an attempt; `repeat` marks a retry."""
         now_ms = clock.now_ms()
-        budget = self._budgets.for_service(one.service)
+        budget = self._retry_budgets.for_service(one.service)
         if repeat:
             budget.repeat(now_ms)
             self._metrics.count("repeats_total", service=one.service)
@@ -386,7 +388,8 @@
 
         At a group, a timeout or a diversion does not count as a fault of the
         head: both happen at high load, and when another member has died and the
-        head soon serves in a new group.
+        head soon serves in a new group. At a runner without a group, a timeout
+        counts if it came later than the route's latency objective.
         """
         if outcome.result in (attempts.Result.FAILED, attempts.Result.BROKEN):
             return True
--- a/cardamommill/gateway/forecast.py
+++ b/cardamommill/gateway/forecast.py
@@ -19,7 +19,7 @@
 
 
 class Forecast:
-    """Estimates the overhead of each service's requests by first events."""
+    """Estimates each service's overhead from the times to first events."""
 
     def __init__(self) -> None:
         self._deviations_ms: dict[str, collections.deque[float]] = {}
--- a/cardamommill/gateway/grouploads.py
+++ b/cardamommill/gateway/grouploads.py
@@ -14,8 +14,8 @@
     def __init__(self) -> None:
         self.own = inflight.InFlightRequests()
         self.age_ms = 0.0
-        self._local: dict[model.GroupKey, inflight.GroupLoad] = {}
-        self._remote: loadsums.Loads = {}
+        self._near: dict[model.GroupKey, inflight.GroupLoad] = {}
+        self._far: loadsums.Loads = {}
 
     def receive(self, near: dict[model.GroupKey, inflight.GroupLoad],
                 far: loadsums.Loads, age_ms: float) -> None:
@@ -28,14 +28,14 @@
                 short id.
             age_ms: Mean age of the reports.
         """
-        self._local = near
-        self._remote = far
+        self._near = near
+        self._far = far
         self.age_ms = age_ms
 
     def others(self, key: model.GroupKey) -> inflight.GroupLoad:
         """Returns the load of all other nodes at a group."""
-        return self._local.get(key, inflight.NO_LOAD).plus(
-            self._remote.get(key.short_id, inflight.NO_LOAD))
+        return self._near.get(key, inflight.NO_LOAD).plus(
+            self._far.get(key.short_id, inflight.NO_LOAD))
 
     def load(self, key: model.GroupKey) -> inflight.GroupLoad:
         """Returns the load of all nodes at a group."""
--- a/cardamommill/gateway/inflight.py
+++ b/cardamommill/gateway/inflight.py
@@ -40,6 +40,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _InFlightRequest:
+    """A request at a group; `begun` once it has given an event."""
+
     prompt_tokens: int
     is_deferred: bool
     begun: bool = False
@@ -76,7 +78,10 @@
             del self._groups[key]
 
     def load(self, key: model.GroupKey) -> GroupLoad:
-        """Returns the load of this node at a group."""
+        """Returns the load of this node at a group.
+
+        A deferred request counts as deferred only until its first event.
+        """
         requests = self._groups.get(key)
         if not requests:
             return NO_LOAD
--- a/cardamommill/gateway/placing.py
+++ b/cardamommill/gateway/placing.py
@@ -8,7 +8,8 @@
 # Maximum number of deferred requests at a group, as a fraction of its places:
 # more would not be served before their callers leave.
 PATIENT_PART = 0.5
-# An avoided group is used only if no other group is available.
+# Much larger than the other costs, so an avoided group is chosen only if no
+# other group can meet the request's objective and deadline.
 AVOIDED_COST_MS = 100_000.0
 # Cost of a failed attempt: about a request's latency objective, since the next
 # attempt starts later, goes to a second-choice runner, and uses up the retry
@@ -21,17 +22,17 @@
 # the head's limited connections. It is smaller than the error of a latency
 # estimate, so it decides only between groups that are about equally good.
 NEW_CONNECTION_COST_MS = 8.0
-# Cost of each in-flight request, as a fraction of the time to process its
-# prompt. It applies after the prompt is processed too, since the request still
-# holds a place.
+# Cost of each in-flight request, as a fraction of the time to process a prompt
+# of the usual length. It applies after the prompt is processed too, since the
+# request still holds a place.
 IN_FLIGHT_WEIGHT = 0.25
 # Bounds of the retry delay when no group is available: before the minimum no
 # group opens, and after the maximum many callers have left.
 MIN_RETRY_AFTER_MS = 120.0
 MAX_RETRY_AFTER_MS = 1500.0
 # Bounds of the retry delay when all groups are full: at least about the
-# duration of a request, and at most the part of their remaining time that
-# callers wait.
+# duration of a request, and at most the time that callers wait before a retry,
+# which is only a part of the time left until their deadline.
 MIN_FULL_RETRY_AFTER_MS = 500.0
 MAX_FULL_RETRY_AFTER_MS = 2600.0
 
@@ -123,7 +124,16 @@
 
 
 def pass_ms(engine: model.Engine, running: int, pace: float) -> float:
-    """Returns the duration of a pass that processes no prompts."""
+    """Returns the duration of a pass that processes no prompts.
+
+    A pass consists of `engine.stride` decoding steps. At its end, each running
+    request gets one event with that many tokens.
+
+    Args:
+        engine: The engine's cost model.
+        running: The number of requests that run.
+        pace: Factor on all durations.
+    """
     context = engine.usual_prompt_tokens + engine.usual_answer_tokens / 2
     step_ms = engine.step_ms + running * (
         engine.per_sequence_ms + engine.context_per_k_ms * context / 1000)
@@ -137,10 +147,14 @@
 
 
 def prefill_ms(engine: model.Engine, tokens: float, pace: float) -> float:
-    """Returns the time to process a prompt."""
-    pairs_m = tokens * tokens / 2 / 1e6
+    """Returns the time to process a prompt.
+
+    One part grows with the tokens; the other, for attention, grows with the
+    pairs of tokens, which the engine counts in millions.
+    """
+    token_pairs_m = tokens * tokens / 2 / 1e6
     return (tokens / engine.read_tokens_per_ms +
-            pairs_m * engine.pairs_per_m_ms) * pace
+            token_pairs_m * engine.pairs_per_m_ms) * pace
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -173,7 +187,9 @@
                         age_ms: float) -> float:
     """Returns how many requests arrived since the load was reported.
 
-    At a constant load, as many requests arrive as end.
+    Assumes a constant load, so that the reported requests are replaced by as
+    many others within the duration of a request. The duration is that of a
+    usual answer with half of the places in use.
 
     Args:
         engine: The engine's cost model.
@@ -196,15 +212,16 @@
     deferred: it waits in a short queue behind those that can. With a single
     queue, demand above the capacity makes nearly every request late.
 
-    Groups that can't finish the request by its deadline are used last. Chosen
-    by the first event alone, slow groups got long answers and hardly one was
-    completed.
+    Groups that can't finish the request by its deadline are used last. If only
+    the first event counted, slow groups would get long answers, hardly any of
+    which they complete in time.
 
     A group whose head is likely to fail is used only if no other group accepts
     the request, not even as deferred: a head that fails immediately always has
-    the lowest load. It also cools down after each failure. Otherwise, while all
-    other groups were full, it got as many requests as they did and used up the
-    retries of all.
+    the lowest load. For a short time after each failure it gets no requests
+    while any other group has a trusted head, even if that group is full.
+    Without this cool-down, while all other groups were full, it got as many
+    requests as they did, and their retries used up the retry budget.
 
     Args:
         engine: The engine's cost model.
@@ -234,7 +251,7 @@
         return chosen
     if placed:
         return Refused("all groups are full",
-                       _queue_drained_ms(trusted or placed, requirements))
+                       _full_retry_after_ms(trusted or placed, requirements))
     wait_ms = min(max(form_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
     return Refused("no group stands", wait_ms * (1 + requirements.jitter / 4))
 
@@ -253,19 +270,19 @@
 
 def _best_placement(engine: model.Engine, placed: list[Placed],
                     requirements: Requirements) -> Placed | None:
-    in_time = [
+    meeting_goal = [
         each for each in placed if each.first_event_ms <= requirements.goal_ms
     ]
-    deferred = [
+    deferrable = [
         each for each in placed
         if each.candidate.deferred < PATIENT_PART * each.candidate.places and
         each.first_event_ms <= requirements.max_wait_ms
     ]
-    for wanted in (_finishes_in_time(requirements), _any_group):
-        chosen = [each for each in in_time if wanted(each)]
+    for wanted in (_finishes_by_deadline(requirements), _any_group):
+        chosen = [each for each in meeting_goal if wanted(each)]
         if chosen:
             return _water_fill(chosen, engine, requirements)
-        chosen = [each for each in deferred if wanted(each)]
+        chosen = [each for each in deferrable if wanted(each)]
         if chosen:
             return dataclasses.replace(min(chosen, key=_deferred_cost),
                                        is_deferred=True)
@@ -277,21 +294,22 @@
     """Draws a group so that all nodes together equalise the groups' costs.
 
     The reported loads of other nodes are some heartbeats old. If every node
-    took the group with the lowest cost, all requests of that time would go to
-    the same group, which would then be the fullest. Instead, the unreported
-    requests are distributed by water-filling: groups are filled up to a common
-    cost, and the request goes to each group with a probability proportional to
-    that group's share. With no unreported requests, the group with the lowest
-    cost is chosen.
+    took the group with the lowest cost, all requests until the next report
+    would go to the same group, which would then be the fullest. Instead, the
+    unreported requests are distributed by water-filling: groups are filled up
+    to a common cost, and the request goes to each group with a probability
+    proportional to that group's share. With no unreported requests, the group
+    with the lowest cost is chosen.
     """
     usual_prefill_ms = prefill_ms(engine, engine.usual_prompt_tokens, 1.0)
 
-    def cost_ms(each: Placed) -> float:
+    def loaded_cost_ms(each: Placed) -> float:
         request_ms = IN_FLIGHT_WEIGHT * usual_prefill_ms * each.candidate.pace
-        return _cost_ms(each) + request_ms * each.candidate.in_flight
+        return _base_cost_ms(each) + request_ms * each.candidate.in_flight
 
-    ranked = sorted(placed, key=cost_ms)
-    costs_ms = [cost_ms(each) for each in ranked]
+    ranked = sorted(placed, key=loaded_cost_ms)
+    costs_ms = [loaded_cost_ms(each) for each in ranked]
+    # The increase of each group's cost by one more request.
     steps_ms = [(1 + IN_FLIGHT_WEIGHT) * usual_prefill_ms * each.candidate.pace
                 for each in ranked]
     level_ms = _water_level_ms(costs_ms, steps_ms,
@@ -328,12 +346,14 @@
     return level_ms
 
 
-def _queue_drained_ms(placed: list[Placed],
-                      requirements: Requirements) -> float:
-    """Returns the time until the currently shortest queue should be drained.
+def _full_retry_after_ms(placed: list[Placed],
+                         requirements: Requirements) -> float:
+    """Returns the retry delay for when all groups are full.
 
-    With retry delays of 0.5 to 1 s, while a queue takes 1.3 s or more to drain,
-    callers were refused again on their retry, and most try only twice.
+    After it, the shortest queue should have drained far enough for a request to
+    meet its objective. With delays of 0.5 to 1 s, while a queue takes 1.3 s or
+    more to drain, callers were refused again on their retry, and most try only
+    twice.
     """
     earliest_ms = min(each.first_event_ms for each in placed)
     wait_ms = max(MIN_FULL_RETRY_AFTER_MS,
@@ -341,7 +361,8 @@
     return min(MAX_FULL_RETRY_AFTER_MS, wait_ms * (1 + requirements.jitter))
 
 
-def _finishes_in_time(requirements: Requirements) -> Callable[[Placed], bool]:
+def _finishes_by_deadline(
+        requirements: Requirements) -> Callable[[Placed], bool]:
     return lambda placed: placed.finish_ms <= requirements.remaining_ms
 
 
@@ -350,7 +371,8 @@
     return True
 
 
-def _cost_ms(placed: Placed) -> float:
+def _base_cost_ms(placed: Placed) -> float:
+    """Returns the cost of a group without that of its in-flight requests."""
     candidate = placed.candidate
     return (placed.first_event_ms + FAILURE_COST_MS * candidate.fail_odds +
             (AVOIDED_COST_MS if candidate.is_avoided else 0.0) +
@@ -369,7 +391,7 @@
     running = min(candidate.in_flight, candidate.places)
     one_pass_ms = pass_ms(engine, running + 1, candidate.pace)
     own_prefill_ms = prefill_ms(engine, counts.prompt_tokens, candidate.pace)
-    others_ms = candidate.pending_prompt_tokens / engine.read_tokens_per_ms * (
+    pending_ms = candidate.pending_prompt_tokens / engine.read_tokens_per_ms * (
         candidate.pace)
     queued = candidate.in_flight - candidate.places + 1
     queue_ms = 0.0
@@ -378,7 +400,7 @@
         queue_ms = queued * passes * one_pass_ms / candidate.places
     # On average the request waits for half of the current pass, and the next
     # pass produces its first event.
-    first_ms = (overhead_ms + 1.5 * one_pass_ms + own_prefill_ms + others_ms +
+    first_ms = (overhead_ms + 1.5 * one_pass_ms + own_prefill_ms + pending_ms +
                 queue_ms)
     finish_ms = first_ms + counts.answer_tokens / engine.stride * _mean_pass_ms(
         engine, running + 1, candidate.pace)
--- a/cardamommill/gateway/plainrunners.py
+++ b/cardamommill/gateway/plainrunners.py
@@ -9,7 +9,8 @@
 # this long. A runner that answers with a failure is exempt: such failures are
 # mostly caused by the request.
 FAULT_PENALTY_MS = 1000.0
-# Weight of the failure probability, in steps of two in-flight requests.
+# Load is compared in pairs of in-flight requests. A failure probability of 1
+# counts like this many pairs.
 FAILURE_WEIGHT = 4
 
 
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -82,7 +82,7 @@
 
     def on_attempt_start(self, relay: "Relay", target: Target,
                          repeat: bool) -> None:
-        """Records the start of an attempt."""
+        """Records the start of an attempt; `repeat` marks a retry."""
 
     def on_attempt_end(self, relay: "Relay", target: Target,
                        outcome: attempts.Outcome) -> None:
@@ -105,14 +105,15 @@
     Attributes:
         request: The request.
         reply: The answer to the caller.
-        attempt_id: The id that the caller gave the request.
+        attempt_id: The id that the caller gave the request; the same in all
+            attempts.
         route: The route of the request, once it is known.
         tenant: The holder of the API key; None where no key is needed.
         service: The name of the service of the last placement.
         token_counts: Prompt length and expected length of the answer.
         model_name: The name of the requested model; empty for none.
         attempted: The targets of all attempts so far.
-        may_have_run_at: Those of them that may have run the request.
+        may_have_run_at: Those of `attempted` that may have run the request.
         deadline_at_ms: When the request times out.
         progress: The part of a stream that the caller has received.
         first_event_ms: When the first event was passed on; 0 before that.
@@ -133,9 +134,9 @@
         self.model_name = request.get(words.MODEL) or ""
         self.attempted: list[Target] = []
         self.may_have_run_at: list[Target] = []
-        # Those of them that count towards the route's limit on attempts. A
-        # stream that was diverted from a group with a lost member counts only
-        # if it gave an event.
+        # Those of `may_have_run_at` that count towards the route's limit on
+        # attempts. A stream that was diverted from a group with a lost member
+        # counts only if it gave an event.
         self._counted_targets: list[Target] = []
         self._attempt_sent_ms = 0.0
         # Whether the group of the current attempt has lost a member.
@@ -204,6 +205,9 @@
     def requirements(self, jitter: float) -> placing.Requirements:
         """Returns the current time limits of the request.
 
+        A started stream, or a request without a latency objective, is limited
+        only by its deadline.
+
         Args:
             jitter: Random number from 0 to 1; see `placing.Requirements`.
         """
@@ -326,7 +330,8 @@
             if self.is_abandoned:
                 return None
             if now_ms >= self.deadline_at_ms:
-                # The caller has left, even if its close has not arrived yet.
+                # Callers leave at their deadline, even if the close of the
+                # connection has not arrived yet.
                 return placing.Refused("out of time",
                                        admitting.DEFAULT_RETRY_AFTER_MS)
             found = self._find_target()
@@ -390,7 +395,7 @@
         return outcome
 
     def _may_be_running(self) -> bool:
-        """Whether the runner of the ended attempt may be running the request.
+        """Whether the runner of the last attempt may be running the request.
 
         A group that has lost a member and gave no event has not started the
         request: an event would have come long before the silence was noticed.
@@ -402,6 +407,12 @@
                 not self._has_lost_member)
 
     def _may_retry(self, leaving: bool = False) -> bool:
+        """Whether another attempt is allowed.
+
+        Args:
+            leaving: Whether the current attempt, which is to be diverted and
+                has not been counted yet, counts towards the route's limit.
+        """
         if self.route is None or len(self.attempted) >= MAX_TOTAL_ATTEMPTS:
             return False
         if self.reply.started and self.progress.last_event_id is None:
@@ -409,7 +420,7 @@
             return False
         if self.deadline_at_ms - clock.now_ms() < MIN_REMAINING_MS:
             return False
-        # Runners that have gone down since then do not count.
+        # Attempts at runners that have gone down do not count.
         counted = leaving + sum(
             not each.known.down_ms for each in self._counted_targets)
         if counted >= self.route.max_attempts:
--- a/cardamommill/gateway/requestlog.py
+++ b/cardamommill/gateway/requestlog.py
@@ -16,24 +16,25 @@
         now_ms: The current time.
     """
     arrived_ms = one.request.arrived_ms
-    first_ms = one.first_event_ms
-    return logs.line("request-ended",
-                     request=one.attempt_id,
-                     route=one.route.name if one.route else "",
-                     tenant=one.tenant.name if one.tenant else "",
-                     status=status,
-                     reason=reason,
-                     targets=",".join(each.name for each in one.attempted),
-                     events=one.progress.events,
-                     first_event_ms=int(first_ms -
-                                        arrived_ms) if first_ms else "",
-                     goal_ms=one.route.goal_ms if one.route else "",
-                     **_forecast(one),
-                     took_ms=int(now_ms - arrived_ms),
-                     version=version)
+    first_event_at_ms = one.first_event_ms
+    return logs.line(
+        "request-ended",
+        request=one.attempt_id,
+        route=one.route.name if one.route else "",
+        tenant=one.tenant.name if one.tenant else "",
+        status=status,
+        reason=reason,
+        targets=",".join(each.name for each in one.attempted),
+        events=one.progress.events,
+        first_event_ms=int(first_event_at_ms -
+                           arrived_ms) if first_event_at_ms else "",
+        goal_ms=one.route.goal_ms if one.route else "",
+        **_estimate_fields(one),
+        took_ms=int(now_ms - arrived_ms),
+        version=version)
 
 
-def _forecast(one: relay.Relay) -> dict[str, object]:
+def _estimate_fields(one: relay.Relay) -> dict[str, object]:
     """Returns the log fields for the estimate of the last attempt, if any."""
     placed = one.attempted[-1].placed if one.attempted else None
     if placed is None:
--- a/tests/gateway/relays.py
+++ b/tests/gateway/relays.py
@@ -113,10 +113,12 @@
 class FakeNode:
     """Context of a relay whose groups, keys and retry budget a test sets.
 
+    It is also its own connection pool and route table.
+
     Attributes:
         exchanges: The requests sent to runners, in order.
         ends: Status and reason of each request that ended.
-        groups: The number of groups that can be attempted.
+        groups: The number of groups, including those already attempted.
         are_keys_valid: Whether API keys are confirmed.
         repeats_left: The remaining retry budget.
         route: The route of the request.
--- a/tests/gateway/test_availablegroups.py
+++ b/tests/gateway/test_availablegroups.py
@@ -86,10 +86,10 @@
 def test_dead_group_is_avoided_until_the_list_shows_it():
     """A head dies right after its heartbeat, and a node notices at once.
 
-    The head's entry expires three heartbeats later, and each node sees that
-    with its next read of the list. Until then the list names it as serving: if
-    the avoidance ended earlier, every node would send it requests again and
-    have to detect the failure again.
+    The head's entry expires three heartbeats later, or four with delays on the
+    way, and each node sees that with its next read of the list. Until then the
+    list names it as serving: if the avoidance ended earlier, every node would
+    send it requests again and have to detect the failure again.
     """
     heartbeat_ms, drain_ms = 1200.0, 2000.0
     expired_ms = 4 * heartbeat_ms
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -135,8 +135,9 @@
                     candidate("b", 40, deferred=7),
                     requirements=placing.Requirements(300.0, 1600.0, 8000.0,
                                                       0.0))
-    engine_ms = placing.pass_ms(ENGINE, 13, 1.0)
-    queue_ms = 28 * 180 / ENGINE.stride * engine_ms / 13
+    one_pass_ms = placing.pass_ms(ENGINE, 13, 1.0)
+    # 28 of the 40 requests must end before the next one gets a place.
+    queue_ms = 28 * 180 / ENGINE.stride * one_pass_ms / 13
     assert queue_ms - 300 < refused.retry_after_ms < queue_ms + 300
 
 
@@ -162,7 +163,7 @@
     """
     failing = candidate("failing", 0, fail_odds=0.7)
     assert place(failing, candidate("b", 12)).candidate.key.name == "b"
-    # A request is rather deferred at a healthy group than failed.
+    # Deferring a request at a healthy group is better than a likely failure.
     late = place(failing, candidate("b", 18))
     assert late.candidate.key.name == "b" and late.is_deferred
 
@@ -202,7 +203,7 @@
 
 
 def placements_by_group(unreported, requests=60, groups=12):
-    """Places requests by equal load reports and returns the count per group."""
+    """Places requests by the same load reports; returns the group counts."""
     chance = random.Random(1)
     candidates = [
         candidate(f"g{number}", number % 4) for number in range(groups)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -270,9 +270,9 @@
     """Two heads in a row accept a request and give no event.
 
     All members of their groups answer, so both may be running the request. The
-    route allows two attempts. When these did not count, the request ran at a
-    third head; with a fifth of the runners holding their requests, more
-    requests ran too often than is allowed.
+    route allows two attempts. If these did not count, the request would run at
+    a third head. With a fifth of the runners holding requests without an event,
+    the number of requests that ran too often exceeded its limit.
     """
 
     async def scenario(node, one):
--- a/tests/gateway/test_stream_machine.py
+++ b/tests/gateway/test_stream_machine.py
@@ -1,9 +1,10 @@
 """State machine test of a stream whose runners fail in any order.
 
 Runners break the connection, start over, skip events, answer in one piece with
-a success or a failure, refuse, or fall silent; keys, retry budget and groups
-come and go. The caller must get one head and each event once, in order, or
-learn that the stream is incomplete; it must get nothing else.
+a success or a failure, refuse, or fall silent. Keys, retry budget and groups
+become unavailable and available again. The caller must get one head and each
+event once, in order, or learn that the stream is incomplete; it must get
+nothing else.
 """
 
 import asyncio
@@ -13,8 +14,8 @@
 
 from tests.gateway import relays
 
-LAST = 6
-NOT_RUN = {"X-Cardamommill-Not-Executed": "1"}
+LAST_EVENT = 6
+NOT_RUN_HEADERS = {"X-Cardamommill-Not-Executed": "1"}
 
 
 class Stream(stateful.RuleBasedStateMachine):
@@ -44,6 +45,7 @@
 
     @property
     def open(self):
+        """The current exchange, or None if it has ended."""
         last = self.node.exchanges[-1]
         if last.cancelled or last.receiver.done.done() or self.reply.ended:
             return None
@@ -64,9 +66,9 @@
             self.with_head.add(exchange)
             exchange.head(200)
         at = self.next_id.get(exchange, exchange.after_event + 1) + skip
-        for number in range(at, min(at + count, LAST + 1)):
+        for number in range(at, min(at + count, LAST_EVENT + 1)):
             exchange.event(number)
-        self.next_id[exchange] = min(at + count, LAST + 1)
+        self.next_id[exchange] = min(at + count, LAST_EVENT + 1)
 
     @stateful.rule(count=strategies.integers(1, 3))
     def events(self, count):
@@ -96,7 +98,7 @@
     def runner_completes_the_stream(self):
 
         def action(exchange):
-            self._send_events(exchange, LAST)
+            self._send_events(exchange, LAST_EVENT)
             if not exchange.receiver.done.done():
                 self.completed = True
                 exchange.complete()
@@ -117,7 +119,7 @@
 
         def action(exchange):
             if exchange not in self.with_head:
-                exchange.answer(503, **NOT_RUN)
+                exchange.answer(503, **NOT_RUN_HEADERS)
 
         self._run_on_open_exchange(action)
 
@@ -130,11 +132,11 @@
         self._run_on_open_exchange(
             lambda exchange: self.relay.divert("group silent"))
 
-    @stateful.rule(hold=strategies.booleans(),
+    @stateful.rule(keys_valid=strategies.booleans(),
                    budget=strategies.integers(0, 2),
                    groups=strategies.integers(1, 4))
-    def context_changes(self, hold, budget, groups):
-        self.node.are_keys_valid = hold
+    def context_changes(self, keys_valid, budget, groups):
+        self.node.are_keys_valid = keys_valid
         self.node.repeats_left = budget
         self.node.groups = groups
 
@@ -146,7 +148,7 @@
     def completed_stream_has_all_events(self):
         if self.reply.ending == "whole" and not self.reply.complete_bodies:
             assert self.completed
-            assert self.reply.events == list(range(1, LAST + 1))
+            assert self.reply.events == list(range(1, LAST_EVENT + 1))
 
     @stateful.invariant()
     def end_is_reported_at_most_once(self):
