--- a/cardamommill/experiment/modelclients.py
+++ b/cardamommill/experiment/modelclients.py
@@ -7,7 +7,7 @@
 
 from cardamommill.experiment import oracle, rightanswers
 from cardamommill.gateway import clock, eventparser, fetching, upstream
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 CONNECT_MS = 1000.0
 # Clients leave after this much silence.
@@ -78,7 +78,7 @@
     def on_head(self, head: upstream.Head) -> bool:
         self.head = head
         self.status = head.status
-        if head.status == 200 and head.get(words.SEAL) is None:
+        if head.status == 200 and head.get(wirenames.RESPONSE_SEAL) is None:
             self._judge.broken("MIXED", f"{self._attempt}: 200 unsealed")
         return True
 
@@ -183,13 +183,13 @@
                        attempt: str, result: Result) -> float | None:
         """Tries once; returns in how many ms to try again, or None."""
         body = b"" if kind.method == "GET" else b"x" * 200
-        headers = [("Host", kind.host), (words.ATTEMPT_ID, attempt),
-                   (words.DEADLINE_MS, str(int(left_ms))),
+        headers = [("Host", kind.host), (wirenames.ATTEMPT_ID, attempt),
+                   (wirenames.DEADLINE_MS, str(int(left_ms))),
                    ("Authorization", f"Bearer {key}")]
         if kind.model:
-            headers += [(words.MODEL, self._world.model_name(kind.model)),
-                        (words.TOKEN_COUNTS, f"{prompt},{answer}"),
-                        (words.LENGTH_HINT, str(answer))]
+            headers += [(wirenames.MODEL, self._world.model_name(kind.model)),
+                        (wirenames.TOKEN_COUNTS, f"{prompt},{answer}"),
+                        (wirenames.LENGTH_HINT, str(answer))]
         address = self._world.node_for(self._place, self._chance)
         self._judge.client_sends(
             attempt,
--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -14,7 +14,7 @@
     virtualnetwork,
 )
 from cardamommill.gateway import callers, clock, model, replies
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 PORT = 8140
 HEARTBEAT_MS = 1200.0
@@ -172,12 +172,12 @@
         told = json.dumps(entry | {"seq": 0}).encode()
         store = self.fleet.store
         if (told != self._told or store.era != self._told_era or
-                store.get(words.SERVERS_TABLE, self.id) is None):
+                store.get(wirenames.SERVERS_TABLE, self.id) is None):
             self._told = told
             if store.era != self._told_era:
                 self.told_again_ms = clock.now_ms()
             self._told_era = store.era
-            self.fleet.store.put(words.SERVERS_TABLE, self.id, entry)
+            self.fleet.store.put(wirenames.SERVERS_TABLE, self.id, entry)
 
     def report(self) -> dict[str, Any]:
         """Returns what it answers when asked: what was true a lag ago."""
@@ -196,12 +196,11 @@
         if self.rest_s:
             self.fleet.oracle.asks_for_rest(job.attempt, self.id,
                                             1000 * self.rest_s)
-            rest = [(words.RETRY_AFTER, f"{self.rest_s:g}")]
-        job.reply.send(503,
-                       [(words.ATTEMPT_ID, job.attempt),
-                        (words.NOT_EXECUTED, "1"),
-                        (words.AT_SERVER, self.id), *rest, *self._advice(job)],
-                       b"")
+            rest = [(wirenames.RETRY_AFTER, f"{self.rest_s:g}")]
+        job.reply.send(
+            503,
+            [(wirenames.ATTEMPT_ID, job.attempt), (wirenames.NOT_EXECUTED, "1"),
+             (wirenames.AT_SERVER, self.id), *rest, *self._advice(job)], b"")
 
     def _advice(self, job: Job) -> list[tuple[str, str]]:
         """Returns what all its answers ask of its callers."""
@@ -209,18 +208,18 @@
         judge.names_limit(job.attempt, self.id, self.limit_per_s)
         told = []
         if self.limit_per_s is not None:
-            told.append((words.SERVER_LIMIT, f"{self.limit_per_s:g}"))
+            told.append((wirenames.SERVER_LIMIT, f"{self.limit_per_s:g}"))
         if self.leaving:
             judge.tells_leaving(job.attempt, self.id)
-            told.append((words.SERVER_LEAVING, "1"))
+            told.append((wirenames.SERVER_LEAVING, "1"))
         return told
 
     def answer_head(self, job: Job) -> list[tuple[str, str]]:
         """Returns the head fields of an answer."""
         running = self.running
-        return [(words.ATTEMPT_ID, job.attempt),
-                (words.SEAL, f"{self.id}.{job.attempt}"),
-                (words.SERVER_LOAD,
+        return [(wirenames.ATTEMPT_ID, job.attempt),
+                (wirenames.RESPONSE_SEAL, f"{self.id}.{job.attempt}"),
+                (wirenames.SERVER_LOAD,
                  f"{running},{len(self.jobs) - running},{self.slots}"),
                 ("Keep-Alive", "timeout=5"), *self._advice(job)]
 
--- a/cardamommill/experiment/modelpasses.py
+++ b/cardamommill/experiment/modelpasses.py
@@ -5,7 +5,7 @@
 
 from cardamommill.experiment import modelfleet, rightanswers
 from cardamommill.gateway import model
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # A head whose member is gone notices after this.
 STALL_MS = 4000.0
@@ -27,20 +27,20 @@
         assert engine is not None
         if (membership is None or membership.rank or
                 membership.state is not model.MemberState.OPEN):
-            job.reply.send(421, [(words.INSTANCE_ID, runner.id),
-                                 (words.ATTEMPT_ID, job.attempt)], b"")
+            job.reply.send(421, [(wirenames.INSTANCE_ID, runner.id),
+                                 (wirenames.ATTEMPT_ID, job.attempt)], b"")
             return None
-        if job.request.get(words.MODEL) != runner.served:
-            job.reply.send(421, [(words.INSTANCE_ID, runner.id)], b"")
+        if job.request.get(wirenames.MODEL) != runner.served:
+            job.reply.send(421, [(wirenames.INSTANCE_ID, runner.id)], b"")
             return None
         if len(runner.jobs) >= engine.slots * (1 + QUEUE_PART):
             runner.shed(job)
             return None
         tokens = [
-            int(each)
-            for each in (job.request.get(words.TOKEN_COUNTS) or "").split(",")
+            int(each) for each in (
+                job.request.get(wirenames.TOKEN_COUNTS) or "").split(",")
         ]
-        last = int(job.request.get(words.LAST_EVENT_ID) or 0)
+        last = int(job.request.get(wirenames.LAST_EVENT_ID) or 0)
         events = math.ceil(tokens[1] / engine.stride)
         job.to_read = tokens[0] + last * engine.stride
         job.next_id = last + 1
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -11,7 +11,7 @@
     rightanswers,
 )
 from cardamommill.gateway import callers, replies
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # A plain runner takes this many times its slots.
 PLAIN_QUEUE = 4
@@ -45,14 +45,14 @@
 
     def _on_request(self, request: callers.CallerRequest,
                     reply: replies.Reply) -> callers.ActiveRequest | None:
-        expected = request.get(words.EXPECT_INSTANCE)
+        expected = request.get(wirenames.EXPECT_INSTANCE)
         if expected is not None and expected != self.id:
-            reply.send(421, [(words.INSTANCE_ID, self.id)], b"")
+            reply.send(421, [(wirenames.INSTANCE_ID, self.id)], b"")
             return None
-        if request.target == words.REPORT_PATH:
+        if request.target == wirenames.REPORT_PATH:
             reply.send(200, [], json.dumps(self.report()).encode())
             return None
-        if request.target == words.ORDER_PATH:
+        if request.target == wirenames.ORDER_PATH:
             asyncio.get_running_loop().create_task(
                 self._answer_order(json.loads(request.body), reply))
             return None
@@ -68,16 +68,16 @@
 
     def _take_job(self, request: callers.CallerRequest,
                   reply: replies.Reply) -> modelfleet.Job | None:
-        attempt = request.get(words.ATTEMPT_ID) or ""
+        attempt = request.get(wirenames.ATTEMPT_ID) or ""
         self.fleet.is_before_traffic = False
         self.fleet.oracle.arrives(attempt, self.service, self.id,
-                                  request.get(words.TENANT) or "",
+                                  request.get(wirenames.TENANT) or "",
                                   request.method, request.target, request.body)
         if self.acknowledged_leaving_ms() > 2000:
             self.fleet.oracle.broken("DRAIN", f"{attempt} at {self.id}")
         job = modelfleet.Job(request, reply, attempt,
-                             int(request.get(words.REQUEST_PRIORITY) or 5), 0.0,
-                             1, 1)
+                             int(request.get(wirenames.REQUEST_PRIORITY) or 5),
+                             0.0, 1, 1)
         if self.rest_s:
             self.shed(job)
             return None
--- a/cardamommill/experiment/modelstore.py
+++ b/cardamommill/experiment/modelstore.py
@@ -8,7 +8,7 @@
 from urllib import parse
 
 from cardamommill.gateway import callers, clock, replies
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 ADDRESS = ("10.200.1.7", 8223)
 ANSWER_MS = 4.0
@@ -102,9 +102,9 @@
         path, _, query_text = request.target.partition("?")
         query = dict(parse.parse_qsl(query_text, keep_blank_values=True))
         calls = {
-            words.ROWS_GET_PATH: self._rows_get,
-            words.ROWS_FEED_PATH: self._rows_feed,
-            words.ROWS_TX_PATH: self._rows_tx,
+            wirenames.ROWS_GET_PATH: self._rows_get,
+            wirenames.ROWS_FEED_PATH: self._rows_feed,
+            wirenames.ROWS_TX_PATH: self._rows_tx,
         }
         call = calls.get(path)
         if call is None:
@@ -119,7 +119,7 @@
                    json.dumps(body).encode())
 
     def _era_header(self) -> tuple[str, str]:
-        return words.STORE_ERA, str(self.era)
+        return wirenames.STORE_ERA, str(self.era)
 
     def _is_silent(self) -> bool:
         return self.fault == "silent"
--- a/cardamommill/experiment/troubles.py
+++ b/cardamommill/experiment/troubles.py
@@ -17,7 +17,7 @@
     virtualloop,
 )
 from cardamommill.gateway import clock
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # The longest that the operator takes to write again after a restore.
 OPERATOR_RETURNS_S = 1.8
@@ -219,7 +219,7 @@
     def _end_for_good(self, leaving: list[modelfleet.ListedRunner]) -> None:
         for runner in leaving:
             runner.end()
-            self._world.store.drop(words.SERVERS_TABLE, runner.id)
+            self._world.store.drop(wirenames.SERVERS_TABLE, runner.id)
             self._world.loop.network.end_processes(runner.host)
 
     async def _runners_drain(self, trouble: deployments.Trouble) -> None:
@@ -321,7 +321,7 @@
         store.fault = ""
         await asyncio.sleep(self._world.chance.uniform(0.1, OPERATOR_RETURNS_S))
         store.put(
-            words.OPERATOR_TABLE, words.CONFIGURATION_KEY,
+            wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY,
             self._world.deployment.configuration(self._world.version,
                                                  self._world.keys))
         await asyncio.sleep(3.0)
@@ -346,7 +346,7 @@
     def _publish(self) -> None:
         self._world.version += self._world.chance.randint(1, 3)
         self._world.store.put(
-            words.OPERATOR_TABLE, words.CONFIGURATION_KEY,
+            wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY,
             self._world.deployment.configuration(self._world.version,
                                                  self._world.keys))
 
--- a/cardamommill/experiment/world.py
+++ b/cardamommill/experiment/world.py
@@ -27,7 +27,7 @@
     fetching,
     upstream,
 )
-from cardamommill.platform import configurations, words
+from cardamommill.platform import configurations, wirenames
 
 FRONT_PORT = 8227
 READY_PORT = 8220
@@ -165,7 +165,7 @@
         """Starts the store, all runners and all nodes."""
         network = self.loop.network
         self.spawn(modelstore.ADDRESS[0], self.store.listen())
-        self.store.put(words.OPERATOR_TABLE, words.CONFIGURATION_KEY,
+        self.store.put(wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY,
                        self.deployment.configuration(self.version, self.keys))
         for index, (place, count) in enumerate(self.deployment.places.items()):
             for number in range(count):
@@ -247,7 +247,7 @@
     async def _ask_ready(self, pool: upstream.Pool, machine: Machine) -> None:
         answer = await fetching.fetch(
             pool, (machine.host, READY_PORT),
-            fetching.request_bytes("GET", words.READY_PATH,
+            fetching.request_bytes("GET", wirenames.READY_PATH,
                                    [("Host", machine.host)]), 900.0, True)
         machine.misses = 0 if answer.head.status == 200 else machine.misses + 1
 
@@ -259,7 +259,7 @@
                 continue
             for runner in self.fleet.runners.values():
                 if clock.now_ms() - runner.beat_ms > LAPSE_MS:
-                    self.store.drop(words.SERVERS_TABLE, runner.id)
+                    self.store.drop(wirenames.SERVERS_TABLE, runner.id)
 
     def _count_open(self) -> dict[str, int]:
         counts: dict[str, int] = {}
--- a/cardamommill/gateway/admitting.py
+++ b/cardamommill/gateway/admitting.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from cardamommill.gateway import callers, httpheaders, model, routetable
-from cardamommill.platform import configurations, words
+from cardamommill.platform import configurations, wirenames
 
 DEFAULT_RETRY_AFTER_MS = 250.0
 # An unknown key or route may exist in a newer configuration. If the one in
@@ -23,7 +23,7 @@
     def config_age_ms(self) -> float:
         """Returns for how long a newer configuration may have existed."""
 
-    def keys_may_be_trusted(self) -> bool:
+    def may_accept_keys(self) -> bool:
         """Whether the configuration is recent enough to accept its keys.
 
         If so, none of them was revoked longer ago than the limit.
@@ -77,7 +77,7 @@
         if stale:
             return _retry_later(None, "no such route in an old view")
         return Rejection(None, 404, "no such route")
-    if not request.get(words.ATTEMPT_ID):
+    if not request.get(wirenames.ATTEMPT_ID):
         return Rejection(route, 400, "no attempt id")
     if table.needs_keys and not route.public:
         return _admit_key(node, request, route, table, stale)
@@ -90,7 +90,7 @@
     scheme, _, key = (request.get("authorization") or "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
         return Rejection(route, 401, "no key")
-    if not node.keys_may_be_trusted():
+    if not node.may_accept_keys():
         return _retry_later(route, "keys not confirmed for too long")
     digest = configurations.key_digest(key.strip())
     tenant = table.tenant(digest)
@@ -107,7 +107,7 @@
 
 def _deadline_at_ms(request: callers.CallerRequest,
                     route: model.Route) -> float:
-    given_ms = httpheaders.number(request.get(words.DEADLINE_MS))
+    given_ms = httpheaders.number(request.get(wirenames.DEADLINE_MS))
     limit_ms = min(given_ms if given_ms is not None else math.inf,
                    route.timeout_ms)
     return request.arrived_ms + limit_ms
--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -69,7 +69,7 @@
                  plans_for: Callable[[model.GroupKey],
                                      bool], send_updates: Callable[[], None],
                  spawn: groupcontroller.Spawn) -> None:
-        """Initializes the alarms of a node.
+        """Initialises the alarms of a node.
 
         Args:
             view: The node's view of runners and groups.
--- a/cardamommill/gateway/attempts.py
+++ b/cardamommill/gateway/attempts.py
@@ -9,7 +9,7 @@
 
 from cardamommill import logs
 from cardamommill.gateway import eventparser, upstream
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # Limit for the body of an answer that is not a stream.
 MAX_ANSWER_BYTES = 8 << 20
@@ -100,7 +100,7 @@
 
     def on_head(self, head: upstream.Head) -> bool:
         """Takes a head; skips an answer with the id of another request."""
-        echo = head.get(words.ATTEMPT_ID)
+        echo = head.get(wirenames.ATTEMPT_ID)
         if echo is not None and echo != self._attempt_id:
             _LOG.warning(
                 logs.line("answer-skipped",
@@ -158,9 +158,9 @@
             return Outcome(Result.ANSWERED, "", self._head, bytes(self._body))
         # 421 (Misdirected Request): the request reached a runner that it was
         # not meant for, which does not run it.
-        if self._head.get(words.NOT_EXECUTED) is not None or status == 421:
+        if self._head.get(wirenames.NOT_EXECUTED) is not None or status == 421:
             return Outcome(Result.NOT_RUN, f"runner said {status}", self._head)
-        if self._head.get(words.ATTEMPT_ID) is None:
+        if self._head.get(wirenames.ATTEMPT_ID) is None:
             return Outcome(Result.BROKEN, f"{status} without the request's id")
         if status >= _SERVER_ERROR_FIRST or status in _FAILURES_BELOW_500:
             return Outcome(Result.FAILED, f"runner said {status}", self._head,
@@ -169,8 +169,8 @@
 
     def _has_valid_success_head(self) -> bool:
         """Whether the head has this attempt's id, a seal and no encoding."""
-        return (self._head.get(words.ATTEMPT_ID) == self._attempt_id and
-                self._head.get(words.SEAL) is not None and
+        return (self._head.get(wirenames.ATTEMPT_ID) == self._attempt_id and
+                self._head.get(wirenames.RESPONSE_SEAL) is not None and
                 self._head.get("content-encoding") is None)
 
     def _fail(self, reason: str) -> None:
--- a/cardamommill/gateway/backpressure.py
+++ b/cardamommill/gateway/backpressure.py
@@ -19,7 +19,7 @@
     ratelimits,
     upstream,
 )
-from cardamommill.platform import advice
+from cardamommill.platform import flowcontrol
 
 # "Misdirected Request": another runner may have answered, since addresses are
 # reassigned.
@@ -88,15 +88,15 @@
             return
         now_ms = clock.now_ms()
         with _ignoring_malformed(request):
-            per_s = advice.rate_limit_per_s(head.headers, runner)
+            per_s = flowcontrol.rate_limit_per_s(head.headers, runner)
             if self._rate_limits.receive_answer(runner, per_s, sent_ms, now_ms):
                 _log_limit(runner, per_s, request=request, status=head.status)
         with _ignoring_malformed(request):
-            if advice.is_leaving(head.headers, runner):
+            if flowcontrol.is_leaving(head.headers, runner):
                 self._receive_leaving(request, runner, now_ms)
         if head.status in _REFUSALS:
             with _ignoring_malformed(request):
-                rest_ms = advice.rest_ms(head.headers, runner)
+                rest_ms = flowcontrol.rest_ms(head.headers, runner)
                 self._receive_rest(request, runner, rest_ms, now_ms)
 
     def _receive_leaving(self, request: str, runner: str,
--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -163,10 +163,10 @@
         self._confirm_by_peers()
         return self._freshness.age_ms(clock.now_ms())
 
-    def keys_may_be_trusted(self) -> bool:
+    def may_accept_keys(self) -> bool:
         """Whether the view of the API keys is recent enough to rely on."""
         self._confirm_by_peers()
-        return self._freshness.keys_may_be_trusted(clock.now_ms())
+        return self._freshness.may_accept_keys(clock.now_ms())
 
     def _confirm_by_peers(self) -> None:
         now_ms = clock.now_ms()
@@ -183,7 +183,7 @@
         assert table is not None and one.route is not None
         refused = placing.Refused("no service",
                                   admitting.DEFAULT_RETRY_AFTER_MS)
-        for name in routetable.draw_backend_order(one.route, self._chance):
+        for name in routetable.draw_service_order(one.route, self._chance):
             service = table.configuration.services.get(name)
             if service is None:
                 continue
--- a/cardamommill/gateway/entrynode.py
+++ b/cardamommill/gateway/entrynode.py
@@ -40,7 +40,7 @@
     tablereader,
     upstream,
 )
-from cardamommill.platform import storecalls, words
+from cardamommill.platform import storecalls, wirenames
 
 # Interval of periodic work; a silent group is noticed up to this much later.
 TICK_MS = 20.0
@@ -88,15 +88,15 @@
             statuspages.StatusPages(self._is_ready, self.metrics).answer,
             self._on_unreadable_request)
         self._freshness = freshness.Freshness(settings.bounds.revoke_ms)
-        self._store = storecalls.Store(self.pool,
-                                       entrysettings.address(settings.platform))
+        self._store = storecalls.StoreClient(
+            self.pool, entrysettings.address(settings.platform))
         copies = tablecopies.TableCopies()
         self._table_server = callers.CallerServer(
             peertables.PeerTableServer(copies, self.spawn).on_request,
             self._on_unreadable_request)
         self._reader = platformreader.PlatformReader(
-            self._table_reader(words.OPERATOR_TABLE, copies),
-            self._table_reader(words.SERVERS_TABLE, copies), self.view,
+            self._table_reader(wirenames.OPERATOR_TABLE, copies),
+            self._table_reader(wirenames.SERVERS_TABLE, copies), self.view,
             self._freshness, settings.bounds.drain_ms, self._on_table)
         self._requests = dispatcher.Dispatcher(settings, self.pool, self.view,
                                                self._reader, self._freshness,
@@ -210,7 +210,7 @@
             self.metrics.count("requests_refused_stopping_total")
             _LOG.info(
                 logs.line("request-refused-stopping",
-                          request=request.get(words.ATTEMPT_ID)))
+                          request=request.get(wirenames.ATTEMPT_ID)))
             return None
         if self._has_initial_state():
             return self._serve(request, reply)
@@ -374,7 +374,7 @@
 
     def _is_ready(self) -> bool:
         return (self._has_initial_state() and not self._stopping_ms and
-                self._requests.keys_may_be_trusted())
+                self._requests.may_accept_keys())
 
     def _on_stop(self, why: str) -> None:
         if self._stopping_ms:
--- a/cardamommill/gateway/fetching.py
+++ b/cardamommill/gateway/fetching.py
@@ -7,7 +7,7 @@
 
 from cardamommill import logs
 from cardamommill.gateway import upstream
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 _LOG = logbook.Logger("fetching")
 
@@ -26,7 +26,7 @@
     """Receives a small answer; see `upstream.Receiver`."""
 
     def __init__(self, request: bytes) -> None:
-        self._is_caller_request = words.ATTEMPT_ID.encode() in request
+        self._is_caller_request = wirenames.ATTEMPT_ID.encode() in request
         self.future: asyncio.Future[Answer] = (
             asyncio.get_running_loop().create_future())
         self._head = upstream.Head()
@@ -34,7 +34,7 @@
 
     def on_head(self, head: upstream.Head) -> bool:
         if not self._is_caller_request and head.get(
-                words.ATTEMPT_ID) is not None:
+                wirenames.ATTEMPT_ID) is not None:
             # A late answer to a caller's request on this connection. Without
             # this check its 200 was taken as the confirmation of an order.
             _LOG.warning(logs.line("answer-skipped", status=head.status))
--- a/cardamommill/gateway/formations.py
+++ b/cardamommill/gateway/formations.py
@@ -149,7 +149,7 @@
                     membership.state is model.MemberState.BROKEN):
                 return "broken"
             if (membership is None and runner_id not in self._pending and
-                    runner_id not in formation.unanswered_joins and
+                    runner_id not in formation.failed_joins and
                     now_ms > formation.due_ms and
                     known.report_ms > formation.started_ms):
                 return f"{runner_id} did not join"
@@ -219,12 +219,12 @@
         order carries the runner's current order count, so a delayed older one
         is refused.
         """
-        for member in list(formation.unanswered_joins):
+        for member in list(formation.failed_joins):
             known = self._view.known[member]
             place = known.membership
             if place is not None and place.key == formation.key:
                 # The answer was lost, or the order was carried out late.
-                del formation.unanswered_joins[member]
+                del formation.failed_joins[member]
             elif member not in self._pending and place is None:
                 yield self._join_order(formation, member,
                                        "no answer to the previous join")
@@ -239,15 +239,15 @@
             reason: What it answered.
             may_retry: Whether it may accept the same order later.
         """
-        attempts = formation.unanswered_joins.get(runner, 0) + 1
-        formation.unanswered_joins[runner] = attempts
+        attempts = formation.failed_joins.get(runner, 0) + 1
+        formation.failed_joins[runner] = attempts
         if not may_retry or attempts >= MAX_JOIN_ATTEMPTS:
             formation.refused = f"{runner} refused: {reason}"
 
     def join_accepted(self, formation: planning.Formation, runner: str,
                       now_ms: float) -> None:
         """Records that a member joins; extends the due time after a retry."""
-        if formation.unanswered_joins.pop(runner, 0):
+        if formation.failed_joins.pop(runner, 0):
             known = self._view.known[runner]
             expected_ms = planning.join_ms(known, formation.model)
             formation.due_ms = max(formation.due_ms,
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -10,7 +10,7 @@
     placing,
     upstream,
 )
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # The deadline sent to the runner is this much earlier than the caller's, so
 # that the runner's own answer is back in time.
@@ -26,8 +26,9 @@
 })
 _NODE_HEADERS = frozenset(
     each.lower()
-    for each in ("Authorization", words.DEADLINE_MS, words.EXPECT_INSTANCE,
-                 words.TENANT, words.REQUEST_PRIORITY, words.LAST_EVENT_ID))
+    for each in ("Authorization", wirenames.DEADLINE_MS,
+                 wirenames.EXPECT_INSTANCE, wirenames.TENANT,
+                 wirenames.REQUEST_PRIORITY, wirenames.LAST_EVENT_ID))
 
 _NOT_FORWARDED = _HOP_HEADERS | _NODE_HEADERS
 
@@ -84,15 +85,15 @@
                   parameters: AttemptParameters) -> bytes:
     """Returns the encoded request for a runner."""
     remaining_ms = max(1, int(parameters.remaining_ms - DEADLINE_MARGIN_MS))
-    node_headers = [(words.DEADLINE_MS, str(remaining_ms)),
-                    (words.EXPECT_INSTANCE, parameters.runner)]
+    node_headers = [(wirenames.DEADLINE_MS, str(remaining_ms)),
+                    (wirenames.EXPECT_INSTANCE, parameters.runner)]
     if parameters.tenant is not None:
-        node_headers.append((words.TENANT, parameters.tenant))
+        node_headers.append((wirenames.TENANT, parameters.tenant))
     if parameters.rank is not None:
-        node_headers.append((words.REQUEST_PRIORITY, str(parameters.rank)))
+        node_headers.append((wirenames.REQUEST_PRIORITY, str(parameters.rank)))
     if parameters.last_event_id is not None:
         node_headers.append(
-            (words.LAST_EVENT_ID, str(parameters.last_event_id)))
+            (wirenames.LAST_EVENT_ID, str(parameters.last_event_id)))
     return fetching.request_bytes(
         request.method, request.target,
         runner_headers(request.headers) + node_headers, request.body)
@@ -110,12 +111,12 @@
 
     The expected length of the answer, if given, replaces a larger limit.
     """
-    counts = (request.get(words.TOKEN_COUNTS) or "").split(",")
+    counts = (request.get(wirenames.TOKEN_COUNTS) or "").split(",")
     numbers = [
         found for each in counts
         if (found := httpheaders.number(each)) is not None
     ]
-    hint = httpheaders.number(request.get(words.LENGTH_HINT))
+    hint = httpheaders.number(request.get(wirenames.LENGTH_HINT))
     if len(numbers) != 2:
         return placing.TokenCounts(0, hint or 0)
     return placing.TokenCounts(numbers[0], min(hint or numbers[1], numbers[1]))
@@ -123,6 +124,6 @@
 
 def fingerprint(request: callers.CallerRequest) -> int:
     """Returns a hash by which copies of the same request are recognized."""
-    counts = request.get(words.TOKEN_COUNTS) or ""
+    counts = request.get(wirenames.TOKEN_COUNTS) or ""
     named = f"{request.method} {request.target} {counts}"
     return zlib.crc32(request.body, zlib.crc32(named.encode()))
--- a/cardamommill/gateway/freshness.py
+++ b/cardamommill/gateway/freshness.py
@@ -29,7 +29,7 @@
         """Returns for how long a newer configuration may have existed."""
         return now_ms - self.confirmed_ms
 
-    def keys_may_be_trusted(self, now_ms: float) -> bool:
+    def may_accept_keys(self, now_ms: float) -> bool:
         """Whether the configuration is recent enough to accept its keys.
 
         If so, none of them was revoked longer ago than the limit.
--- a/cardamommill/gateway/groupcontroller.py
+++ b/cardamommill/gateway/groupcontroller.py
@@ -32,7 +32,8 @@
 
 # After these replies the same order may be accepted, once the runner's current
 # state is known.
-_RETRYABLE = frozenset({ordercalls.Reply.UNKNOWN, ordercalls.Reply.UNFIT})
+_RETRYABLE = frozenset(
+    {ordercalls.OrderReply.UNKNOWN, ordercalls.OrderReply.UNFIT})
 
 _LOG = logbook.Logger("groups")
 
@@ -112,7 +113,8 @@
             return
         reply, detail = await ordercalls.send_order(self._pool, known.runner,
                                                     order)
-        accepted = reply in (ordercalls.Reply.BEGUN, ordercalls.Reply.DONE)
+        accepted = reply in (ordercalls.OrderReply.BEGUN,
+                             ordercalls.OrderReply.DONE)
         now_ms = clock.now_ms()
         if accepted:
             self._record_accepted(order, known, reply, now_ms)
@@ -141,12 +143,12 @@
             self.planner.rechecked(order)
 
     def _record_accepted(self, order: orders.Order,
-                         known: fleetview.RunnerRecord, reply: ordercalls.Reply,
-                         now_ms: float) -> None:
+                         known: fleetview.RunnerRecord,
+                         reply: ordercalls.OrderReply, now_ms: float) -> None:
         is_leave = order.operation is orders.Operation.LEAVE
         # Leaving is carried out at once, and counts as an order that was
         # started.
-        begun = known.orders_begun + (reply is ordercalls.Reply.BEGUN or
+        begun = known.orders_begun + (reply is ordercalls.OrderReply.BEGUN or
                                       is_leave)
         membership = known.membership
         if order.operation is orders.Operation.JOIN and order.group:
@@ -211,7 +213,7 @@
     async def _request_report(self,
                               runner: model.Runner) -> model.Report | None:
         try:
-            return await ordercalls.ask_report(self._pool, runner)
+            return await ordercalls.fetch_report(self._pool, runner)
         except exceptions.BadPeerMessage as error:
             _LOG.warning(
                 logs.line("report-refused", runner=runner.id,
--- a/cardamommill/gateway/heldrequests.py
+++ b/cardamommill/gateway/heldrequests.py
@@ -22,7 +22,7 @@
 
     def __init__(self, handler: callers.Handler, request: callers.CallerRequest,
                  reply: replies.Reply) -> None:
-        """Initializes a request that waits.
+        """Initialises a request that waits.
 
         Args:
             handler: Serves the request, or refuses it.
--- a/cardamommill/gateway/nodelink.py
+++ b/cardamommill/gateway/nodelink.py
@@ -14,7 +14,7 @@
     peers,
     sourceselector,
 )
-from cardamommill.platform import storecalls, words
+from cardamommill.platform import storecalls, wirenames
 
 # How often a node reads the table of nodes. Each new node adds itself to this
 # table and sends messages to the nodes in it. In a large fleet, the interval
@@ -52,7 +52,7 @@
                  heard: Callable[[peermessage.PeerMessage, float],
                                  None], on_return: Callable[[str],
                                                             None]) -> None:
-        """Initializes the link without opening a socket.
+        """Initialises the link without opening a socket.
 
         Args:
             settings: The address to listen on, and the seeds.
@@ -144,16 +144,16 @@
                 return
             await asyncio.sleep(PEER_POLL_INTERVAL_MS / 1000)
 
-    async def discover_nodes(self, store: storecalls.Store) -> None:
+    async def discover_nodes(self, store: storecalls.StoreClient) -> None:
         """Discovers nodes through the platform's table; never returns."""
         registered_era = None
         while True:
             try:
                 if registered_era != store.eras.newest:
-                    await store.put(words.NODES_TABLE, self._settings.node,
+                    await store.put(wirenames.NODES_TABLE, self._settings.node,
                                     self._settings.ip.encode())
                     registered_era = store.eras.newest
-                rows = await store.table(words.NODES_TABLE)
+                rows = await store.table(wirenames.NODES_TABLE)
             except exceptions.StoreError as error:
                 _LOG.warning(logs.line("nodes-unread", reason=str(error)))
                 await asyncio.sleep(DISCOVERY_RETRY_MS / 1000)
--- a/cardamommill/gateway/peertables.py
+++ b/cardamommill/gateway/peertables.py
@@ -66,8 +66,8 @@
         query = {"table": table, "era": self._eras.newest}
         return await self._fetch(query, ANSWER_TIMEOUT_MS)
 
-    async def feed(self, table: str, after: eras.TablePosition,
-                   wait_ms: int) -> storecalls.Rows:
+    async def wait_for_changes(self, table: str, after: eras.TablePosition,
+                               wait_ms: int) -> storecalls.Rows:
         """Returns the rows that changed, once there are any or at the timeout.
 
         Raises:
@@ -82,7 +82,7 @@
         }
         rows = await self._fetch(query, wait_ms + ANSWER_TIMEOUT_MS)
         if rows.era != after.era:
-            raise storecalls.Restored(
+            raise storecalls.StoreRestored(
                 f"got rows of era {rows.era}, expected era {after.era}",
                 step=_STEP,
                 peer=self._peer)
@@ -189,7 +189,7 @@
             return None
         table = self._copies.table(name)
         if table.is_loaded and rows_query.after is None:
-            _answer(reply, table, table.whole(), rows_query)
+            _answer(reply, table, table.all_rows(), rows_query)
             return None
         pending = _PendingAnswer()
         if table.is_loaded:
@@ -212,7 +212,7 @@
     if pending.left:
         return
     if table.is_loaded:
-        _answer(reply, table, table.whole(), rows_query)
+        _answer(reply, table, table.all_rows(), rows_query)
     else:
         reply.send(_NOT_READY, [], b"not read yet\n")
 
--- a/cardamommill/gateway/planning.py
+++ b/cardamommill/gateway/planning.py
@@ -61,7 +61,7 @@
         open_accepted_ms: When the head accepted that; 0 before.
         open_attempts: How often the head was ordered to open.
         refused: Why a join was refused for good; empty if none was.
-        unanswered_joins: How many join orders were refused or not answered, by
+        failed_joins: How many join orders were refused or not answered, by
             member.
     """
 
@@ -77,7 +77,7 @@
     open_accepted_ms: float = 0.0
     open_attempts: int = 0
     refused: str = ""
-    unanswered_joins: dict[str, int] = dataclasses.field(default_factory=dict)
+    failed_joins: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/cardamommill/gateway/platformreader.py
+++ b/cardamommill/gateway/platformreader.py
@@ -16,7 +16,7 @@
     routetable,
     tablereader,
 )
-from cardamommill.platform import configurations, entries, storecalls, words
+from cardamommill.platform import configurations, entries, storecalls, wirenames
 
 # How long a query for configuration changes is held, as a fraction of the time
 # for which a revoked key may still be accepted. A query confirms nothing until
@@ -76,8 +76,8 @@
             drain_ms: The drain bound.
             on_table: Called with the route table of each new configuration.
         """
-        self._operator = operator
-        self._servers = servers
+        self._configuration_reader = operator
+        self._list_reader = servers
         self.table: routetable.RouteTable | None = None
         self._view = view
         self._fresh = fresh
@@ -111,7 +111,7 @@
         while True:
             revoke_ms = self._fresh.revoke_ms
             try:
-                result = await self._operator.read(
+                result = await self._configuration_reader.read(
                     self._feed_wait_ms(revoke_ms),
                     MAX_CONFIGURATION_AGE_RATIO * revoke_ms)
             except storecalls.HistoryLost:
@@ -126,7 +126,7 @@
             has_failed = False
             self._record_success("configuration")
             try:
-                self._take_rows(result)
+                self._apply_rows(result)
             except Exception:
                 _LOG.exception(logs.line("configuration-failed"))
             if self.table is None:
@@ -141,8 +141,8 @@
 
     def has_lost_store(self, now_ms: float) -> bool:
         """Whether this node has lost the store for at least one table."""
-        return (self._operator.has_lost_store(now_ms) or
-                self._servers.has_lost_store(now_ms))
+        return (self._configuration_reader.has_lost_store(now_ms) or
+                self._list_reader.has_lost_store(now_ms))
 
     def should_catch_up(self, version: int) -> bool:
         """Whether a peer's configuration is newer and no catch-up is running.
@@ -164,8 +164,8 @@
         try:
             # A reader that catches up passes the configuration on to its
             # followers, so these wait longer.
-            delay_factor = (1 if self._operator.is_reading_store else
-                            FOLLOWER_DELAY_FACTOR)
+            delay_factor = (1 if self._configuration_reader.is_reading_store
+                            else FOLLOWER_DELAY_FACTOR)
             await asyncio.sleep(delay_factor * CATCH_UP_DELAY_MS / 1000)
             if self._version() == version:
                 await self._read_newer_configuration(version)
@@ -176,12 +176,13 @@
 
     async def _read_newer_configuration(self, version: int) -> None:
         try:
-            result = await self._operator.read_newer_from_peer(version)
+            result = await self._configuration_reader.read_newer_from_peer(
+                version)
         except exceptions.StoreError as error:
             _LOG.info(logs.line("catch-up-failed", reason=str(error)))
             return
         if result is not None:
-            self._take_rows(result)
+            self._apply_rows(result)
             _LOG.info(
                 logs.line("caught-up", before=version, now=self._version()))
 
@@ -189,25 +190,25 @@
         """Returns the version of the configuration in use, or 0 without one."""
         return self.table.configuration.version if self.table else 0
 
-    def _take_rows(self, result: tablereader.ReadResult) -> None:
+    def _apply_rows(self, result: tablereader.ReadResult) -> None:
         rows = result.rows
         if result.was_restored:
             self._suspend_confirmation(rows)
         if result.whole:
             self._stored_version = 0
         for row in rows.rows:
-            if row.key == words.CONFIGURATION_KEY:
-                self._take_row(row, row.version or rows.version)
+            if row.key == wirenames.CONFIGURATION_KEY:
+                self._apply_row(row, row.version or rows.version)
         if self._is_newest(rows):
             self._fresh.confirm(rows.as_of_ms)
 
-    def _take_row(self, row: storecalls.Row, version: int) -> None:
+    def _apply_row(self, row: storecalls.Row, version: int) -> None:
         if version > self._restored_version:
             # The operator has rewritten the configuration since the restore.
             self._confirmed_from_ms = float("-inf")
         if row.deleted:
             self._stored_version = 0
-        elif not self._take_configuration(row.value):
+        elif not self._apply_configuration(row.value):
             self._undecodable_version = max(self._undecodable_version, version)
         elif version > self._undecodable_version:
             self._undecodable_version = 0
@@ -239,7 +240,7 @@
                       version=self._version(),
                       for_ms=restoration.REWRITE_TIMEOUT_MS))
 
-    def _take_configuration(self, value: bytes) -> bool:
+    def _apply_configuration(self, value: bytes) -> bool:
         """Uses a stored configuration if it is newer than the current one.
 
         Returns:
@@ -276,7 +277,7 @@
         while True:
             started_ms = clock.now_ms()
             try:
-                result = await self._servers.read(
+                result = await self._list_reader.read(
                     self._list_wait_ms(started_ms),
                     MAX_LIST_AGE_RATIO * self._drain_ms)
             except storecalls.HistoryLost:
@@ -289,12 +290,12 @@
             self._record_success("list")
             self._start_recovery_if_stale()
             try:
-                self._take_list(result)
+                self._apply_list(result)
             except Exception:
                 # A row that this release can't process must not stop the
                 # reading of later lists.
                 _LOG.exception(logs.line("list-failed"))
-            if self._servers.is_reading_store and result.rows:
+            if self._list_reader.is_reading_store and result.rows:
                 # An answer without changes was held by the source, so the next
                 # query follows at once.
                 await self._wait_for_next_read(started_ms)
@@ -330,7 +331,7 @@
         finally:
             self._list_requested.clear()
 
-    def _take_list(self, result: tablereader.ReadResult) -> None:
+    def _apply_list(self, result: tablereader.ReadResult) -> None:
         rows = result.rows
         if result.was_restored:
             self._begin_restoration(rows)
--- a/cardamommill/gateway/ratelimits.py
+++ b/cardamommill/gateway/ratelimits.py
@@ -117,7 +117,7 @@
 
     def __init__(self, node: str,
                  live_nodes: Callable[[float], NodesByDataCentre]) -> None:
-        """Initializes the record without any limits.
+        """Initialises the record without any limits.
 
         Args:
             node: This node's name.
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -26,7 +26,7 @@
     streamprogress,
     upstream,
 )
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 # Maximum number of attempts per request, including those that were refused or
 # did not reach the runner. A refusal costs a caller only some ms, and the retry
@@ -125,13 +125,13 @@
         self._node = node
         self.request = request
         self.reply = reply
-        self.attempt_id = request.get(words.ATTEMPT_ID) or ""
+        self.attempt_id = request.get(wirenames.ATTEMPT_ID) or ""
         self.route: model.Route | None = None
         self.tenant: model.Tenant | None = None
         self._key_digest = b""
         self.service = ""
         self.token_counts = forwarding.token_counts(request)
-        self.model_name = request.get(words.MODEL) or ""
+        self.model_name = request.get(wirenames.MODEL) or ""
         self.attempted: list[Target] = []
         self.may_have_run_at: list[Target] = []
         # Those of `may_have_run_at` that count towards the route's limit on
@@ -143,7 +143,7 @@
         self._has_lost_member = False
         self.deadline_at_ms = math.inf
         self.progress = streamprogress.StreamProgress(
-            httpheaders.number(request.get(words.LAST_EVENT_ID)))
+            httpheaders.number(request.get(wirenames.LAST_EVENT_ID)))
         self.first_event_ms = 0.0
         self._attempt: attempts.Attempt | None = None
         self._target: Target | None = None
@@ -176,7 +176,7 @@
     def is_key_valid(self) -> bool:
         """Whether the API key is valid at the moment."""
         return self.tenant is None or (self._key_is_known() and
-                                       self._node.keys_may_be_trusted())
+                                       self._node.may_accept_keys())
 
     def _key_is_known(self) -> bool:
         table = self._node.table()
--- a/cardamommill/gateway/reliability.py
+++ b/cardamommill/gateway/reliability.py
@@ -70,7 +70,7 @@
     """Tracks attempts at runners; counts each failure of all nodes once."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Initializes the record without any attempts.
+        """Initialises the record without any attempts.
 
         Args:
             rng: Random numbers that differ between nodes.
--- a/cardamommill/gateway/retrybudget.py
+++ b/cardamommill/gateway/retrybudget.py
@@ -14,7 +14,7 @@
     """The retry budget of one service on this node, over a sliding window."""
 
     def __init__(self, ratio: float, window_ms: float, slack: float) -> None:
-        """Initializes an empty window.
+        """Initialises an empty window.
 
         Args:
             ratio: Allowed retries per request, in any window.
--- a/cardamommill/gateway/routetable.py
+++ b/cardamommill/gateway/routetable.py
@@ -47,7 +47,7 @@
         return bool(self.configuration.tenants)
 
 
-def draw_backend_order(route: model.Route, rng: random.Random) -> list[str]:
+def draw_service_order(route: model.Route, rng: random.Random) -> list[str]:
     """Returns the services of a route in a random order by weight.
 
     Services without a positive weight are left out.
--- a/cardamommill/gateway/sourceselector.py
+++ b/cardamommill/gateway/sourceselector.py
@@ -80,7 +80,7 @@
         return STORE in self._failures
 
     @property
-    def is_store_lost(self) -> bool:
+    def has_reached_failure_limit(self) -> bool:
         """Whether the last calls to the store failed, more than one in a row.
 
         After a single unanswered query the store answers a retry within some
@@ -92,14 +92,14 @@
 
     def has_lost_store(self, now_ms: float) -> bool:
         """Whether the store is lost and its last failure is recent."""
-        return self.is_store_lost and self._has_failed_recently(
+        return self.has_reached_failure_limit and self._has_failed_recently(
             STORE, now_ms, STORE_LOST_MS)
 
     def choose(self, now_ms: float) -> Source:
         """Returns the source to read from now."""
         near = self._near_nodes(now_ms)
         reader = self._reader(near, now_ms)
-        if self.is_store_lost and self._has_failed_recently(
+        if self.has_reached_failure_limit and self._has_failed_recently(
                 STORE, now_ms, self._store_retry_ms(near)):
             # A reader that has lost the store too has no new data, but asking
             # it is free. Otherwise each of eighty nodes would keep calling the
--- a/cardamommill/gateway/statuspages.py
+++ b/cardamommill/gateway/statuspages.py
@@ -4,7 +4,7 @@
 
 from cardamommill import metrics
 from cardamommill.gateway import callers, replies
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 METRICS_PATH = "/metrics"
 
@@ -24,7 +24,7 @@
         reply.send(status, [("Content-Type", "text/plain")], body)
 
     def _page(self, target: str) -> tuple[int, bytes]:
-        if target == words.READY_PATH:
+        if target == wirenames.READY_PATH:
             return (200, b"ready\n") if self._is_ready() else (503,
                                                                b"not ready\n")
         if target == METRICS_PATH:
--- a/cardamommill/gateway/streamprogress.py
+++ b/cardamommill/gateway/streamprogress.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, last_event_id: int | None) -> None:
-        """Initializes the progress of a request without attempts.
+        """Initialises the progress of a request without attempts.
 
         Args:
             last_event_id: The last event that the caller had before it sent
--- a/cardamommill/gateway/tablecopies.py
+++ b/cardamommill/gateway/tablecopies.py
@@ -108,7 +108,7 @@
         if len(self._changes) > MAX_KEPT_CHANGES:
             self._history_start = self._changes.popleft().version
 
-    def whole(self) -> tuple[storecalls.Row, ...]:
+    def all_rows(self) -> tuple[storecalls.Row, ...]:
         """Returns all rows."""
         return tuple(self._rows.values())
 
--- a/cardamommill/gateway/tablereader.py
+++ b/cardamommill/gateway/tablereader.py
@@ -44,7 +44,7 @@
 class TableReader:
     """Reads one table from the store or from peers."""
 
-    def __init__(self, store: storecalls.Store, pool: upstream.Pool,
+    def __init__(self, store: storecalls.StoreClient, pool: upstream.Pool,
                  selector: sourceselector.SourceSelector, name: str,
                  copy: tablecopies.TableCopy) -> None:
         """Initialises the reader.
@@ -58,7 +58,7 @@
         """
         self._store = store
         self._pool = pool
-        self._choice = selector
+        self._selector = selector
         self._name = name
         self._copy = copy
         self._last_source = sourceselector.STORE
@@ -74,7 +74,7 @@
 
     def has_lost_store(self, now_ms: float) -> bool:
         """Whether the store is lost and its last failure is recent."""
-        return self._choice.has_lost_store(now_ms)
+        return self._selector.has_lost_store(now_ms)
 
     async def read(self, wait_ms: int, max_age_ms: float) -> ReadResult:
         """Reads the whole table at first, and then its changes.
@@ -87,10 +87,10 @@
             HistoryLost: The next read will be whole.
             StoreError: There was no usable answer.
         """
-        source = self._choice.choose(clock.now_ms())
+        source = self._selector.choose(clock.now_ms())
         self._log_source_change(source)
         after = self._known_position
-        if source.peer is None and self._choice.has_store_failed:
+        if source.peer is None and self._selector.has_store_failed:
             # A query for changes is held while there are none, and until it is
             # answered, no API key could be trusted. A whole read is answered
             # at once. Peers answer often, so they are still queried for
@@ -113,9 +113,9 @@
             # whole list once to each node of the fleet.
             raise
         except exceptions.StoreError:
-            self._choice.failed(source, clock.now_ms())
+            self._selector.failed(source, clock.now_ms())
             raise
-        self._choice.succeeded(source)
+        self._selector.succeeded(source)
         # A peer's copy may be older than that of the previous source. The
         # position does not go back then, since the later changes are known.
         self._known_position = max(after or rows.position, rows.position)
@@ -137,7 +137,7 @@
             HistoryLost: The next read will be whole.
             StoreError: There was no usable answer.
         """
-        source = self._choice.peer_with_newer(version, clock.now_ms())
+        source = self._selector.peer_with_newer(version, clock.now_ms())
         if source is None:
             return None
         return await self._read_from(source, self._known_position, 0, math.inf)
@@ -145,7 +145,8 @@
     async def _fetch(self, source: sourceselector.Source,
                      after: eras.TablePosition | None, wait_ms: int,
                      max_age_ms: float) -> storecalls.Rows:
-        target: storecalls.Store | peertables.PeerTableClient = self._store
+        target: (storecalls.StoreClient |
+                 peertables.PeerTableClient) = self._store
         if source.peer is not None:
             target = peertables.PeerTableClient(self._pool, source.peer,
                                                 self._store.eras)
@@ -153,7 +154,7 @@
             wait_ms = int(
                 min(wait_ms, PEER_WAIT_MS, max(PEER_MIN_WAIT_MS, remaining_ms)))
         if after is not None:
-            rows = await target.feed(self._name, after, wait_ms)
+            rows = await target.wait_for_changes(self._name, after, wait_ms)
         else:
             rows = await target.table(self._name)
         if source.peer is not None:
--- a/cardamommill/platform/entries.py
+++ b/cardamommill/platform/entries.py
@@ -10,7 +10,7 @@
 
 from cardamommill import exceptions
 from cardamommill.gateway import model
-from cardamommill.platform import wire, words
+from cardamommill.platform import wire, wirenames
 
 _MEMBER_STATES = {each.value: each for each in model.MemberState}
 
@@ -84,7 +84,7 @@
             this version of the software. The runner then counts as unlisted.
     """
     entry = _parse(_WireEntry, value, runner)
-    if entry.state not in (words.READY, words.DRAINING):
+    if entry.state not in (wirenames.READY, wirenames.DRAINING):
         raise exceptions.BadPeerMessage(
             f"unknown runner state {entry.state!r}, expected ready or draining",
             step="decode entry",
@@ -95,7 +95,7 @@
                         host=host,
                         port=int(port),
                         data_centre=entry.zone,
-                        leaving=entry.state == words.DRAINING,
+                        leaving=entry.state == wirenames.DRAINING,
                         slots=max(1, entry.slots),
                         row_version=row_version,
                         status=_runner_status(entry, runner),
@@ -154,7 +154,7 @@
                             _MEMBER_STATES[group.state])
 
 
-def json_body(body: bytes, step: str, peer: str) -> dict[str, Any]:
+def parse_json_object(body: bytes, step: str, peer: str) -> dict[str, Any]:
     """Returns the JSON object that a body holds.
 
     Args:
--- a/cardamommill/platform/advice.py
+++ b/cardamommill/platform/flowcontrol.py
@@ -4,7 +4,7 @@
 
 from cardamommill import exceptions, units
 from cardamommill.gateway import httpheaders
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
 _TRUE = "1"
@@ -24,9 +24,9 @@
     Raises:
         BadPeerMessage: The header holds no decimal number.
     """
-    text = httpheaders.first_value(headers, words.SERVER_LIMIT)
-    return None if text is None else _parse_decimal(words.SERVER_LIMIT, text,
-                                                    runner)
+    text = httpheaders.first_value(headers, wirenames.SERVER_LIMIT)
+    return None if text is None else _parse_decimal(wirenames.SERVER_LIMIT,
+                                                    text, runner)
 
 
 def is_leaving(headers: httpheaders.Headers, runner: str) -> bool:
@@ -41,10 +41,10 @@
     Raises:
         BadPeerMessage: The header is neither 0 nor 1.
     """
-    text = httpheaders.first_value(headers, words.SERVER_LEAVING) or _FALSE
+    text = httpheaders.first_value(headers, wirenames.SERVER_LEAVING) or _FALSE
     if text.strip() not in (_TRUE, _FALSE):
-        raise _malformed(words.SERVER_LEAVING, f"expected 0 or 1, got {text!r}",
-                         runner)
+        raise _malformed(wirenames.SERVER_LEAVING,
+                         f"expected 0 or 1, got {text!r}", runner)
     return text.strip() == _TRUE
 
 
@@ -61,10 +61,10 @@
     Raises:
         BadPeerMessage: The header holds no decimal number of seconds.
     """
-    text = httpheaders.first_value(headers, words.RETRY_AFTER)
+    text = httpheaders.first_value(headers, wirenames.RETRY_AFTER)
     if text is None:
         return 0.0
-    return units.MS_PER_S * _parse_decimal(words.RETRY_AFTER, text, runner)
+    return units.MS_PER_S * _parse_decimal(wirenames.RETRY_AFTER, text, runner)
 
 
 def _parse_decimal(name: str, text: str, runner: str) -> float:
--- a/cardamommill/platform/ordercalls.py
+++ b/cardamommill/platform/ordercalls.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from cardamommill.gateway import fetching, model, orders, upstream
-from cardamommill.platform import entries, words
+from cardamommill.platform import entries, wirenames
 
 # A runner answers in a few ms; an unreachable one never does. An unanswered
 # order is sent again. If the first copy arrives late, the runner refuses it,
@@ -14,7 +14,7 @@
 REPORT_TIMEOUT_MS = 150
 
 
-class Reply(enum.Enum):
+class OrderReply(enum.Enum):
     """A runner's reply to an order."""
 
     # Status 202: the runner has begun to carry out the order.
@@ -30,7 +30,11 @@
     UNKNOWN = "unknown"
 
 
-_REPLY_BY_STATUS = {200: Reply.DONE, 202: Reply.BEGUN, 409: Reply.UNFIT}
+_REPLY_BY_STATUS = {
+    200: OrderReply.DONE,
+    202: OrderReply.BEGUN,
+    409: OrderReply.UNFIT
+}
 
 
 def order_body(order: orders.Order) -> dict[str, Any]:
@@ -50,31 +54,31 @@
 
 
 async def send_order(pool: upstream.Pool, runner: model.Runner,
-                     order: orders.Order) -> tuple[Reply, str]:
+                     order: orders.Order) -> tuple[OrderReply, str]:
     """Sends an order to a runner.
 
     Returns:
         The reply and a text for the log: the answer's status and the start of
         its body, or why there is no complete answer.
     """
-    request = fetching.request_bytes("POST", words.ORDER_PATH, [
+    request = fetching.request_bytes("POST", wirenames.ORDER_PATH, [
         ("Host", f"{runner.host}:{runner.port}"),
-        (words.EXPECT_INSTANCE, runner.id),
+        (wirenames.EXPECT_INSTANCE, runner.id),
         ("Content-Type", "application/json"),
     ],
                                      json.dumps(order_body(order)).encode())
     answer = await fetching.fetch(pool, (runner.host, runner.port), request,
                                   ORDER_TIMEOUT_MS)
     if answer.ending is upstream.Ending.NOT_SENT:
-        return Reply.REFUSED, answer.reason
+        return OrderReply.REFUSED, answer.reason
     if answer.ending is not upstream.Ending.COMPLETE:
-        return Reply.UNKNOWN, answer.reason
-    reply = _REPLY_BY_STATUS.get(answer.head.status, Reply.REFUSED)
+        return OrderReply.UNKNOWN, answer.reason
+    reply = _REPLY_BY_STATUS.get(answer.head.status, OrderReply.REFUSED)
     return reply, f"{answer.head.status} {answer.body[:120]!r}"
 
 
-async def ask_report(pool: upstream.Pool,
-                     runner: model.Runner) -> model.Report | None:
+async def fetch_report(pool: upstream.Pool,
+                       runner: model.Runner) -> model.Report | None:
     """Asks a runner for its report.
 
     Returns:
@@ -83,9 +87,9 @@
     Raises:
         BadPeerMessage: The answer's body is no valid report.
     """
-    request = fetching.request_bytes("GET", words.REPORT_PATH,
+    request = fetching.request_bytes("GET", wirenames.REPORT_PATH,
                                      [("Host", f"{runner.host}:{runner.port}"),
-                                      (words.EXPECT_INSTANCE, runner.id)])
+                                      (wirenames.EXPECT_INSTANCE, runner.id)])
     answer = await fetching.fetch(pool, (runner.host, runner.port), request,
                                   REPORT_TIMEOUT_MS)
     if answer.ending is not upstream.Ending.COMPLETE:
--- a/cardamommill/platform/storecalls.py
+++ b/cardamommill/platform/storecalls.py
@@ -12,11 +12,11 @@
 
 from cardamommill import exceptions, logs
 from cardamommill.gateway import clock, eras, fetching, httpheaders, upstream
-from cardamommill.platform import entries, words
+from cardamommill.platform import entries, wirenames
 
 # For reads of rows and for writes. Even a store that is slowed down sixty times
 # answers in 300 ms; one that does not answer at all should be asked again soon.
-READ_TIMEOUT_MS = 1000
+CALL_TIMEOUT_MS = 1000
 # How long a feed's answer may take beyond the wait that was asked for. A longer
 # margin would leave API keys unconfirmed for too long after one lost answer.
 FEED_MARGIN_MS = 500
@@ -67,11 +67,11 @@
     """The store no longer has the changes asked for; read the whole table."""
 
 
-class Restored(HistoryLost):
+class StoreRestored(HistoryLost):
     """The store was restored and is in a newer era than the one asked about."""
 
 
-class Store:
+class StoreClient:
     """One node's client of the platform's store."""
 
     def __init__(self, pool: upstream.Pool, address: upstream.Address) -> None:
@@ -107,8 +107,8 @@
             } | ({
                 "from": after
             } if after else {})
-            answer, sent_ms = await self._get(words.ROWS_GET_PATH, query,
-                                              READ_TIMEOUT_MS)
+            answer, sent_ms = await self._get(wirenames.ROWS_GET_PATH, query,
+                                              CALL_TIMEOUT_MS)
             rows = self._rows(answer, sent_ms)
             found += rows.rows
             first = first or rows
@@ -117,8 +117,8 @@
                 return dataclasses.replace(first, rows=tuple(found))
             after = rows.rows[-1].key + "\0"
 
-    async def feed(self, table: str, after: eras.TablePosition,
-                   wait_ms: int) -> Rows:
+    async def wait_for_changes(self, table: str, after: eras.TablePosition,
+                               wait_ms: int) -> Rows:
         """Waits for changes of a table and returns the changed rows.
 
         Args:
@@ -136,7 +136,7 @@
         query = {"table": table, "sinceRev": after.version, "waitMs": wait_ms}
         timeout_ms = wait_ms + FEED_MARGIN_MS
         changes = asyncio.ensure_future(
-            self._get(words.ROWS_FEED_PATH, query, timeout_ms))
+            self._get(wirenames.ROWS_FEED_PATH, query, timeout_ms))
         # Another call may see first that the store was restored.
         newer_era = asyncio.ensure_future(
             self.eras.wait_for_newer(after.era, timeout_ms))
@@ -153,9 +153,10 @@
 
     def _check_era(self, era: int, expected: int) -> None:
         if era != expected:
-            raise Restored(f"store is in era {era}, expected era {expected}",
-                           step="rows",
-                           peer=self._peer)
+            raise StoreRestored(
+                f"store is in era {era}, expected era {expected}",
+                step="rows",
+                peer=self._peer)
 
     async def put(self, table: str, key: str, value: bytes) -> None:
         """Writes a row unconditionally, whatever it held before.
@@ -173,11 +174,11 @@
             }],
             "remove": []
         }).encode()
-        request = fetching.request_bytes("POST", words.ROWS_TX_PATH,
+        request = fetching.request_bytes("POST", wirenames.ROWS_TX_PATH,
                                          [("Host", self._peer),
                                           ("Content-Type", "application/json")],
                                          body)
-        await self._call(request, READ_TIMEOUT_MS, words.ROWS_TX_PATH)
+        await self._call(request, CALL_TIMEOUT_MS, wirenames.ROWS_TX_PATH)
 
     async def _get(self, path: str, query: dict[str, Any],
                    timeout_ms: float) -> tuple[dict[str, Any], float]:
@@ -194,10 +195,10 @@
         answer = await fetching.fetch(self._pool, self._address, request,
                                       timeout_ms)
         if answer.ending is upstream.Ending.COMPLETE:
-            self._observe_era(answer.head.get(words.STORE_ERA), step)
+            self._observe_era(answer.head.get(wirenames.STORE_ERA), step)
         check(answer, step, self._peer)
         try:
-            return entries.json_body(answer.body, step, self._peer)
+            return entries.parse_json_object(answer.body, step, self._peer)
         except exceptions.BadPeerMessage as error:
             raise exceptions.StoreError(error.message,
                                         step=step,
--- a/cardamommill/platform/words.py
+++ b/cardamommill/platform/wirenames.py
@@ -16,7 +16,7 @@
 SERVER_LOAD = "X-Cardamommill-Server-Load"
 REQUEST_PRIORITY = "X-Cardamommill-Request-Priority"
 # A 2xx without it is not accepted as the answer of a runner.
-SEAL = "X-Cardamommill-Response-Seal"
+RESPONSE_SEAL = "X-Cardamommill-Response-Seal"
 TENANT = "X-Cardamommill-Tenant"
 # "IN,OUT": tokens of the prompt, and the most tokens that the answer may have.
 TOKEN_COUNTS = "X-Cardamommill-Token-Counts"
--- a/tests/experiment/test_modelclients.py
+++ b/tests/experiment/test_modelclients.py
@@ -11,7 +11,7 @@
     virtualloop,
 )
 from cardamommill.gateway import callers, clock
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 ADDRESS = ("10.1.0.1", 8000)
 KIND = modelclients.Kind(name="drafts",
@@ -51,8 +51,9 @@
     judge = oracle.Oracle(oracle.Limits(1.0))
 
     def handler(request, reply):
-        reply.start(200, [(words.ATTEMPT_ID, request.get(words.ATTEMPT_ID)),
-                          (words.SEAL, "s")])
+        reply.start(200,
+                    [(wirenames.ATTEMPT_ID, request.get(wirenames.ATTEMPT_ID)),
+                     (wirenames.RESPONSE_SEAL, "s")])
         for number in (1, 2):
             reply.write(rightanswers.event_bytes(request.target, number))
         connection = next(iter(server.connections))
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -11,7 +11,7 @@
     sourceselector,
     tablereader,
 )
-from cardamommill.platform import storecalls, words
+from cardamommill.platform import storecalls, wirenames
 from tests.experiment import test_world
 
 FOUR_CUT = {"kind": "store_cut", "at_s": 1.0, "count": 4, "for_s": 9.0}
@@ -52,17 +52,17 @@
 def test_only_readers_read_the_whole_list_when_all_nodes_start(monkeypatch):
     """Hundreds of nodes that start at once each read a thousand rows."""
     whole = []
-    table = storecalls.Store.table
+    table = storecalls.StoreClient.table
 
     async def counted(self, name, part=""):
         whole.append(name)
         return await table(self, name, part)
 
-    monkeypatch.setattr(storecalls.Store, "table", counted)
+    monkeypatch.setattr(storecalls.StoreClient, "table", counted)
     assert not play(nodes=12, length_s=1.0).violations
     # Two of the one data centre, the only node of the other.
-    assert whole.count(words.SERVERS_TABLE) <= 3
-    assert whole.count(words.OPERATOR_TABLE) <= 3
+    assert whole.count(wirenames.SERVERS_TABLE) <= 3
+    assert whole.count(wirenames.OPERATOR_TABLE) <= 3
 
 
 def test_nodes_cut_from_the_store_serve_on_what_their_peers_read():
@@ -164,7 +164,7 @@
     """Returns how long after its writing nodes took each configuration."""
     written_ms, found = {}, []
     publish = troubles.Troubles._publish
-    take = platformreader.PlatformReader._take_configuration
+    take = platformreader.PlatformReader._apply_configuration
 
     def noted(self):
         publish(self)
@@ -179,7 +179,7 @@
         return sound
 
     monkeypatch.setattr(troubles.Troubles, "_publish", noted)
-    monkeypatch.setattr(platformreader.PlatformReader, "_take_configuration",
+    monkeypatch.setattr(platformreader.PlatformReader, "_apply_configuration",
                         timed)
     outcome = play(*happening, nodes=8, length_s=10.0)
     assert not outcome.violations
@@ -218,7 +218,7 @@
     read_newer_from_peer = tablereader.TableReader.read_newer_from_peer
 
     async def counted(self, version):
-        asked.append(self._choice._node)
+        asked.append(self._selector._node)
         return await read_newer_from_peer(self, version)
 
     monkeypatch.setattr(tablereader.TableReader, "read_newer_from_peer",
@@ -259,7 +259,7 @@
     """Returns how long followers took to know that runners leave."""
     left_ms, found = {}, []
     drain = modelrunner.ModelRunner.drain
-    take = platformreader.PlatformReader._take_list
+    take = platformreader.PlatformReader._apply_list
 
     def noted(runner):
         drain(runner)
@@ -267,7 +267,7 @@
 
     def timed(self, news):
         take(self, news)
-        if self._servers._choice._node in ("node-a-1", "node-a-2"):
+        if self._list_reader._selector._node in ("node-a-1", "node-a-2"):
             return
         for known in self._view.known.values():
             mark = (self, known.runner.id)
@@ -277,7 +277,7 @@
 
     seen = set()
     monkeypatch.setattr(modelrunner.ModelRunner, "drain", noted)
-    monkeypatch.setattr(platformreader.PlatformReader, "_take_list", timed)
+    monkeypatch.setattr(platformreader.PlatformReader, "_apply_list", timed)
     play({
         "kind": "store_cut",
         "at_s": 2.5,
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -26,7 +26,7 @@
     relay,
     upstream,
 )
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples" / "experiments"
 PLACES = {"a": 2, "b": 1}
@@ -155,7 +155,7 @@
 
 
 def test_key_check_is_what_keeps_revoked_keys_out(monkeypatch):
-    monkeypatch.setattr(freshness.Freshness, "keys_may_be_trusted",
+    monkeypatch.setattr(freshness.Freshness, "may_accept_keys",
                         lambda self, now_ms: True)
     outcome = play(trouble("store_silent", 1.98, for_s=9),
                    trouble("revoke", 1.99, count=3),
@@ -238,14 +238,12 @@
         await asyncio.sleep(4.0)
 
     async def ask(playing, name, tokens, status):
-        request = fetching.request_bytes("POST", f"/draft/{name}",
-                                         [("Host", "model.example"),
-                                          (words.ATTEMPT_ID, name),
-                                          (words.DEADLINE_MS, "8000"),
-                                          (words.MODEL, "large"),
-                                          (words.TOKEN_COUNTS, f"100,{tokens}"),
-                                          ("Authorization", "Bearer key0")],
-                                         b"x")
+        request = fetching.request_bytes(
+            "POST", f"/draft/{name}",
+            [("Host", "model.example"), (wirenames.ATTEMPT_ID, name),
+             (wirenames.DEADLINE_MS, "8000"), (wirenames.MODEL, "large"),
+             (wirenames.TOKEN_COUNTS, f"100,{tokens}"),
+             ("Authorization", "Bearer key0")], b"x")
         playing.judge.client_sends(
             name,
             oracle.Sent(0, "POST", f"/draft/{name}", b"x", "key0", "tenant0",
--- a/tests/gateway/planners.py
+++ b/tests/gateway/planners.py
@@ -15,7 +15,7 @@
     ]
 
 
-class Bench:
+class PlannerHarness:
     """A planner and its view of simulated runners.
 
     A runner carries out an order only when the test calls `accept`, and at once
--- a/tests/gateway/relays.py
+++ b/tests/gateway/relays.py
@@ -11,7 +11,7 @@
     relay,
     upstream,
 )
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 from tests.gateway import builders
 
 ATTEMPT_ID = "a1"
@@ -83,16 +83,16 @@
     @property
     def after_event(self):
         """The id of the event after which the stream resumes; 0 for none."""
-        name = words.LAST_EVENT_ID.lower()
+        name = wirenames.LAST_EVENT_ID.lower()
         for line in self.request.decode().split("\r\n"):
             if line.lower().startswith(f"{name}:"):
                 return int(line.partition(":")[2])
         return 0
 
     def head(self, status, seal="s1", **headers):
-        found = [(words.ATTEMPT_ID, ATTEMPT_ID), *headers.items()]
+        found = [(wirenames.ATTEMPT_ID, ATTEMPT_ID), *headers.items()]
         if seal:
-            found.append((words.SEAL, seal))
+            found.append((wirenames.RESPONSE_SEAL, seal))
         return self.receiver.on_head(upstream.Head(status, found))
 
     def event(self, number):
@@ -163,7 +163,7 @@
         del digest
         return True
 
-    def keys_may_be_trusted(self):
+    def may_accept_keys(self):
         return self.are_keys_valid
 
     def find_target(self, one):
@@ -195,7 +195,7 @@
 
 def begin(node, request=None, reply=None):
     """Starts a relay in the running event loop and returns it."""
-    headers = [(words.ATTEMPT_ID, ATTEMPT_ID)]
+    headers = [(wirenames.ATTEMPT_ID, ATTEMPT_ID)]
     request = request or callers.CallerRequest("POST", "/v/1", headers, b"",
                                                0.0)
     one = relay.Relay(node, request, reply or FakeReply())
--- a/tests/gateway/test_allocation.py
+++ b/tests/gateway/test_allocation.py
@@ -7,8 +7,9 @@
 
 
 def test_domain_as_large_as_a_group_forms_one():
-    bench = planners.Bench([builders.runner(number) for number in range(4)],
-                           planners.BEFORE_TRAFFIC)
+    bench = planners.PlannerHarness(
+        [builders.runner(number) for number in range(4)],
+        planners.BEFORE_TRAFFIC)
     assert len(planners.orders_of(bench.step(), orders.Operation.JOIN)) == 4
 
 
@@ -16,13 +17,13 @@
     runners = [
         builders.runner(number, domain=f"d{number % 2}") for number in range(4)
     ]
-    bench = planners.Bench(runners, planners.BEFORE_TRAFFIC)
+    bench = planners.PlannerHarness(runners, planners.BEFORE_TRAFFIC)
     assert len(planners.orders_of(bench.step(), orders.Operation.JOIN)) == 4
 
 
 def test_each_model_gets_a_group_in_a_domain():
     blank = [builders.runner(number) for number in range(1, 10)]
-    bench = planners.Bench(blank, planners.BEFORE_TRAFFIC)
+    bench = planners.PlannerHarness(blank, planners.BEFORE_TRAFFIC)
     names = collections.Counter()
     for _ in range(200):
         for order in planners.orders_of(bench.step(500), orders.Operation.JOIN):
@@ -39,8 +40,8 @@
     had half of the groups that its callers need.
     """
     lead = planning.Scope(frozenset({"a"}), 3, True, {})
-    bench = planners.Bench([builders.runner(number) for number in range(1, 10)],
-                           lead)
+    bench = planners.PlannerHarness(
+        [builders.runner(number) for number in range(1, 10)], lead)
     begun = []
     for _ in range(60):
         for order in planners.orders_of(bench.step(), orders.Operation.JOIN):
@@ -51,7 +52,7 @@
 
 def test_survivors_in_two_domains_form_a_group_if_none_is_available():
     blank = [builders.runner(number) for number in range(20, 25)]
-    bench = planners.Bench(
+    bench = planners.PlannerHarness(
         planners.warm_runners(2) +
         planners.warm_runners(2, start=11, domain="d1") + blank)
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
@@ -66,8 +67,8 @@
     groups that lost a member meanwhile had no replacement.
     """
     lead = planning.Scope(frozenset({"a"}), 1, True, {})
-    bench = planners.Bench([builders.runner(number) for number in range(1, 10)],
-                           lead)
+    bench = planners.PlannerHarness(
+        [builders.runner(number) for number in range(1, 10)], lead)
     staged = []
     while len(bench.planner.formations) < 2:
         for order in planners.orders_of(bench.step(), orders.Operation.JOIN):
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -6,11 +6,11 @@
 import pytest
 
 from cardamommill.gateway import attempts
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 from tests.gateway import exchanges
 
-OWN = f"{words.ATTEMPT_ID}: a1\r\n{words.SEAL}: s\r\n"
-OTHER = f"{words.ATTEMPT_ID}: zz\r\n{words.SEAL}: s\r\n"
+OWN = f"{wirenames.ATTEMPT_ID}: a1\r\n{wirenames.RESPONSE_SEAL}: s\r\n"
+OTHER = f"{wirenames.ATTEMPT_ID}: zz\r\n{wirenames.RESPONSE_SEAL}: s\r\n"
 
 
 def answer(status="200 OK", headers=OWN, body="yes"):
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("text", [
     b"\x00\x01garbage",
     answer(headers=""),
-    answer(headers=f"{words.ATTEMPT_ID}: a1\r\n"),
+    answer(headers=f"{wirenames.ATTEMPT_ID}: a1\r\n"),
     answer(headers=OWN + "Content-Encoding: gzip\r\n"),
     answer("500 Internal Server Error", headers=""),
 ])
@@ -92,7 +92,8 @@
 
 def test_runner_that_reports_not_executed_is_trusted():
     outcome, _, _ = attempt(
-        answer("503 Service Unavailable", f"{words.NOT_EXECUTED}: 1\r\n", ""))
+        answer("503 Service Unavailable", f"{wirenames.NOT_EXECUTED}: 1\r\n",
+               ""))
     assert outcome.result is attempts.Result.NOT_RUN
 
 
--- a/tests/gateway/test_consolidation.py
+++ b/tests/gateway/test_consolidation.py
@@ -44,7 +44,7 @@
     their requests, all members leave, and the four of each domain form a group
     of their own, so that events are in time again.
     """
-    bench = planners.Bench(two_spanning_groups())
+    bench = planners.PlannerHarness(two_spanning_groups())
     closes = orders_of(bench.step(), orders.Operation.CLOSE)
     assert {str(each.group) for each in closes} == {"g1:1", "g2:2"}
     for each in closes:
@@ -68,7 +68,7 @@
 def test_group_across_domains_and_spares_become_a_single_domain_group():
     runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
     runners += planners.warm_runners(1, start=5)
-    bench = planners.Bench(runners)
+    bench = planners.PlannerHarness(runners)
     assert [
         str(each.group)
         for each in orders_of(bench.step(), orders.Operation.CLOSE)
@@ -85,13 +85,13 @@
     """
     runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d0", "d1"))
     runners += spanning_group("g2", (5, 6, 7, 8), ("d0", "d0", "d2", "d2"))
-    bench = planners.Bench(runners)
+    bench = planners.PlannerHarness(runners)
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
 
 def test_group_across_domains_is_kept_if_it_can_not_be_replaced():
     runners = spanning_group("g1", (1, 2, 3, 4), ("d0", "d0", "d1", "d1"))
-    bench = planners.Bench(runners + planners.warm_runners(1, start=5))
+    bench = planners.PlannerHarness(runners + planners.warm_runners(1, start=5))
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
 
 
@@ -102,7 +102,7 @@
     requests. The first has two members in each domain: four runners that could
     form a group across domains again before the second's members are free.
     """
-    bench = planners.Bench(two_spanning_groups())
+    bench = planners.PlannerHarness(two_spanning_groups())
     closes = orders_of(bench.step(), orders.Operation.CLOSE)
     for each in closes:
         bench.accept(each)
@@ -113,7 +113,7 @@
 
 
 def test_members_leave_a_head_that_does_not_finish_in_time():
-    bench = planners.Bench(two_spanning_groups())
+    bench = planners.PlannerHarness(two_spanning_groups())
     for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
     assert not orders_of(bench.step(5000), orders.Operation.LEAVE)
@@ -132,7 +132,7 @@
         dataclasses.replace(builders.runner(20 + number, domain=f"d{number}"),
                             service="other") for number in range(2)
     ]
-    bench = planners.Bench(two_spanning_groups() + others)
+    bench = planners.PlannerHarness(two_spanning_groups() + others)
     for each in orders_of(bench.step(), orders.Operation.CLOSE):
         bench.accept(each)
     other = dataclasses.replace(bench.service, name="other")
@@ -143,7 +143,7 @@
 
 
 def test_lost_close_is_repeated():
-    bench = planners.Bench(two_spanning_groups())
+    bench = planners.PlannerHarness(two_spanning_groups())
     assert len(orders_of(bench.step(), orders.Operation.CLOSE)) == 2
     assert not orders_of(bench.step(), orders.Operation.CLOSE)
     assert len(orders_of(bench.step(2000), orders.Operation.CLOSE)) == 2
@@ -151,7 +151,7 @@
 
 def test_groups_of_other_planners_are_left_alone():
     halves = ("d0", "d0", "d1", "d1")
-    bench = planners.Bench(
+    bench = planners.PlannerHarness(
         spanning_group("g1", (1, 2, 3, 4), halves) +
         spanning_group("g2", (5, 6, 7, 8), halves),
         planning.Scope(frozenset({"b"}), 2, False, {}))
--- a/tests/gateway/test_freshness_and_retries.py
+++ b/tests/gateway/test_freshness_and_retries.py
@@ -5,10 +5,10 @@
 
 def test_keys_are_trusted_while_the_confirmation_is_recent():
     fresh = freshness.Freshness(5000)
-    assert not fresh.keys_may_be_trusted(0)
+    assert not fresh.may_accept_keys(0)
     fresh.confirm(1000)
-    assert fresh.keys_may_be_trusted(5000)
-    assert not fresh.keys_may_be_trusted(5500)
+    assert fresh.may_accept_keys(5000)
+    assert not fresh.may_accept_keys(5500)
 
 
 def test_older_confirmation_changes_nothing():
--- a/tests/gateway/test_misdelivered_bytes.py
+++ b/tests/gateway/test_misdelivered_bytes.py
@@ -6,7 +6,7 @@
 
 from cardamommill import exceptions
 from cardamommill.gateway import attempts, callers, fetching, upstream
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 from tests.gateway import exchanges, relays, test_attempts, test_callers
 from tests.gateway.test_replies import Parsed
 
@@ -154,13 +154,13 @@
     got = []
 
     def handler(request, reply):
-        got.append(request.get(words.MODEL))
+        got.append(request.get(wirenames.MODEL))
         reply.send(200, [], b"")
 
     test_callers.run_script(
         test_callers.send(
             b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-            b"1\r\nx\r\n0\r\n" + words.MODEL.encode() + b": other\r\n\r\n"),
+            b"1\r\nx\r\n0\r\n" + wirenames.MODEL.encode() + b": other\r\n\r\n"),
         handler)
     assert got == [None]
 
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -41,7 +41,7 @@
                                LARGE: 20,
                                SMALL: 20
                            }, waiting))
-    return planners.Bench(runners, scope)
+    return planners.PlannerHarness(runners, scope)
 
 
 def staged_models(actions):
@@ -90,7 +90,7 @@
     ]
     scope = planning.Scope(frozenset({"a"}), 1, False,
                            loads({LARGE: 20}, waiting))
-    return planners.Bench(runners, scope)
+    return planners.PlannerHarness(runners, scope)
 
 
 def join_orders(planner_bench, steps=20):
@@ -163,7 +163,7 @@
 
 def test_a_model_without_any_group_is_overloaded():
     runners = group(SMALL, "small", 5, 3)
-    planner_bench = planners.Bench(
+    planner_bench = planners.PlannerHarness(
         runners,
         planning.Scope(frozenset({"a"}), 1, False, loads({SMALL: 1}, {})))
     for _ in range(20):
@@ -189,7 +189,7 @@
     local_runners += [
         builders.runner(20 + each, staged=("large",)) for each in range(4)
     ]
-    planner_bench = planners.Bench(local_runners + remote_runners)
+    planner_bench = planners.PlannerHarness(local_runners + remote_runners)
     for _ in range(20):
         planner_bench.step(100)
     before = planners.orders_of(planner_bench.step(), orders.Operation.JOIN)
--- a/tests/gateway/test_peertables.py
+++ b/tests/gateway/test_peertables.py
@@ -64,7 +64,7 @@
     async def script(table, pool):
         peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
         query = asyncio.get_running_loop().create_task(
-            peer.feed("t", eras.TablePosition(0, 5), wait_ms=1000))
+            peer.wait_for_changes("t", eras.TablePosition(0, 5), wait_ms=1000))
         await asyncio.sleep(0.2)
         table.apply_rows(storecalls.Rows((row("b", 6),), 6, clock.now_ms()),
                          False)
@@ -81,9 +81,10 @@
 
     async def script(table, pool):
         rows = await peertables.PeerTableClient(
-            pool, ADDRESS, eras.EraTracker()).feed("t",
-                                                   eras.TablePosition(0, 5),
-                                                   wait_ms=400)
+            pool, ADDRESS,
+            eras.EraTracker()).wait_for_changes("t",
+                                                eras.TablePosition(0, 5),
+                                                wait_ms=400)
         return rows, clock.now_ms() - rows.as_of_ms
 
     rows, age_ms = run_with_peer(script)
@@ -101,7 +102,7 @@
     async def script(table, pool):
         peer = peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker())
         query = asyncio.get_running_loop().create_task(
-            peer.feed("t", eras.TablePosition(0, 5), wait_ms=400))
+            peer.wait_for_changes("t", eras.TablePosition(0, 5), wait_ms=400))
         await asyncio.sleep(0.3)
         table.apply_rows(storecalls.Rows((), 5, clock.now_ms()), False)
         rows = await query
@@ -115,8 +116,11 @@
 
     async def script(table, pool):
         del table
-        await peertables.PeerTableClient(pool, ADDRESS, eras.EraTracker()).feed(
-            "t", eras.TablePosition(0, 2), wait_ms=100)
+        await peertables.PeerTableClient(pool, ADDRESS,
+                                         eras.EraTracker()).wait_for_changes(
+                                             "t",
+                                             eras.TablePosition(0, 2),
+                                             wait_ms=100)
 
     with pytest.raises(storecalls.HistoryLost):
         run_with_peer(script)
@@ -155,7 +159,9 @@
                                             eras.EraTracker())
         began_ms = clock.now_ms()
         with pytest.raises(exceptions.StoreError):
-            await silent.feed("t", eras.TablePosition(0, 5), wait_ms=450)
+            await silent.wait_for_changes("t",
+                                          eras.TablePosition(0, 5),
+                                          wait_ms=450)
         return clock.now_ms() - began_ms
 
     assert run_with_peer(script) < 450 + peertables.ANSWER_TIMEOUT_MS + 20
@@ -170,7 +176,7 @@
         table.apply_rows(storecalls.Rows((row("b", 4),), 4, clock.now_ms(), 1),
                          True)
         with pytest.raises(storecalls.HistoryLost):
-            await peer.feed("t", before.position, wait_ms=100)
+            await peer.wait_for_changes("t", before.position, wait_ms=100)
         after = await peer.table("t")
         return before.position, after.position, known.newest
 
--- a/tests/gateway/test_planner.py
+++ b/tests/gateway/test_planner.py
@@ -7,7 +7,7 @@
 def test_head_is_opened_only_when_all_members_were_seen_ready():
     # If the head were opened earlier, requests would start in an incomplete
     # group: only the planner checks the other members.
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     assert len(joins) == 4
     for order in joins:
@@ -24,7 +24,7 @@
     # The planner's node is cut off from the store while a group forms. The
     # members report readiness only in the list; without probes the group would
     # stay ready but unopened.
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     for order in planners.orders_of(bench.step(), orders.Operation.JOIN):
         bench.accept(order)
     actions = bench.step(3000)
@@ -33,7 +33,7 @@
 
 
 def test_every_join_carries_the_order_count():
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     for number in range(1, 6):
         bench.view.known[f"i-{number}"].orders_begun = 10 + number
     for order in planners.orders_of(bench.step(), orders.Operation.JOIN):
@@ -41,7 +41,7 @@
 
 
 def test_group_names_are_never_reused():
-    bench = planners.Bench(planners.warm_runners(9))
+    bench = planners.PlannerHarness(planners.warm_runners(9))
     keys = {
         each.group
         for each in planners.orders_of(bench.step(), orders.Operation.JOIN)
@@ -51,7 +51,7 @@
 
 
 def test_group_is_announced_when_its_head_serves():
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     planners.open_group(bench)
     (group,) = bench.view.groups("llm").values()
     assert group.is_open
@@ -62,7 +62,7 @@
     # The known state of the runner is wrong, and its report shows the true
     # state only after some hundred ms. Without the wait, forty orders were sent
     # to such a runner.
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins[1:]:
         bench.accept(order)
@@ -79,7 +79,7 @@
 
 
 def test_runners_of_other_data_centres_get_no_orders():
-    bench = planners.Bench(
+    bench = planners.PlannerHarness(
         [builders.runner(number, place="b") for number in range(9)])
     assert not bench.step()
 
@@ -91,7 +91,7 @@
     the list every 120 ms from before the members were due cost more calls in
     large fleets than all other work of a planner.
     """
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     bench.view.list_as_of_ms = 1e9
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins:
@@ -114,7 +114,7 @@
     The second value is the join that was sent after these; None if the group
     was given up.
     """
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins[1:]:
         bench.accept(order, planners.STATE.READY)
@@ -150,7 +150,7 @@
 
 
 def test_join_that_was_carried_out_without_an_answer_is_not_retried():
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins[1:]:
         bench.accept(order, planners.STATE.READY)
@@ -183,7 +183,7 @@
     the second planner's orders, and its next join took a member out of the open
     group.
     """
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     joins = planners.orders_of(bench.step(), orders.Operation.JOIN)
     for order in joins:
         bench.accept(order, planners.STATE.READY)
--- a/tests/gateway/test_platformreader.py
+++ b/tests/gateway/test_platformreader.py
@@ -15,9 +15,9 @@
     tablereader,
     upstream,
 )
-from cardamommill.platform import storecalls, words
+from cardamommill.platform import storecalls, wirenames
 
-CONFIG = (words.OPERATOR_TABLE, words.CONFIGURATION_KEY)
+CONFIG = (wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY)
 DRAIN_MS = 2000.0
 # Time within which the reader must know of a change. It is less than the drain
 # bound, which leaves some time to act on the change.
@@ -45,11 +45,11 @@
         self.store = modelstore.ModelStore()
         self.view = fleetview.FleetView()
         others = peers.Peers("n1", "a", 1, ("10.1.0.1", 7000), clock.now_ms())
-        store = storecalls.Store(pool, modelstore.ADDRESS)
+        store = storecalls.StoreClient(pool, modelstore.ADDRESS)
         operator, servers = (tablereader.TableReader(
             store, pool, sourceselector.SourceSelector("n1", others), name,
-            tablecopies.TableCopy()) for name in (words.OPERATOR_TABLE,
-                                                  words.SERVERS_TABLE))
+            tablecopies.TableCopy()) for name in (wirenames.OPERATOR_TABLE,
+                                                  wirenames.SERVERS_TABLE))
         self.fresh = freshness.Freshness(5000.0)
         self.reader = platformreader.PlatformReader(operator, servers,
                                                     self.view, self.fresh,
@@ -57,7 +57,7 @@
                                                     lambda table: None)
 
     def put(self, runner, **fields):
-        self.store.put(words.SERVERS_TABLE, runner, entry(**fields))
+        self.store.put(wirenames.SERVERS_TABLE, runner, entry(**fields))
 
 
 def follow(script):
@@ -107,14 +107,14 @@
     """
 
     async def script(harness):
-        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
+        assert harness.fresh.may_accept_keys(clock.now_ms())
         harness.store.put(*CONFIG, configuration(4, routes="none"))
         await asyncio.sleep(6.0)
         assert harness.reader.table.configuration.version == 3
-        assert not harness.fresh.keys_may_be_trusted(clock.now_ms())
+        assert not harness.fresh.may_accept_keys(clock.now_ms())
         harness.store.put(*CONFIG, configuration(5))
         await asyncio.sleep(0.1)
-        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
+        assert harness.fresh.may_accept_keys(clock.now_ms())
 
     follow_configuration(script)
 
@@ -135,7 +135,7 @@
 def test_runner_whose_entry_is_deleted_is_no_longer_listed():
 
     async def script(harness):
-        harness.store.drop(words.SERVERS_TABLE, "i-1")
+        harness.store.drop(wirenames.SERVERS_TABLE, "i-1")
         await asyncio.sleep(KNOWN_S)
         assert not harness.view.known["i-1"].listed
         assert harness.view.known["i-2"].listed
@@ -148,7 +148,7 @@
 
     async def script(harness):
         harness.store.fault = "silent"
-        harness.store.drop(words.SERVERS_TABLE, "i-1")
+        harness.store.drop(wirenames.SERVERS_TABLE, "i-1")
         harness.put("i-3")
         harness.store.compact()
         await asyncio.sleep(3.0)
@@ -213,10 +213,10 @@
         harness.store.restore(1000)
         await asyncio.sleep(5.5)
         assert harness.reader.table.configuration.version == 4
-        assert not harness.fresh.keys_may_be_trusted(clock.now_ms())
+        assert not harness.fresh.may_accept_keys(clock.now_ms())
         harness.store.put(*CONFIG, configuration(4))
         await asyncio.sleep(0.1)
-        assert harness.fresh.keys_may_be_trusted(clock.now_ms())
+        assert harness.fresh.may_accept_keys(clock.now_ms())
 
     follow_configuration(script)
 
@@ -243,7 +243,7 @@
         harness.store.restore(0)
         for _ in range(60):
             await asyncio.sleep(0.1)
-            assert harness.fresh.keys_may_be_trusted(clock.now_ms())
+            assert harness.fresh.may_accept_keys(clock.now_ms())
 
     follow_configuration(script)
 
@@ -270,7 +270,7 @@
     async def script(harness):
         await asyncio.sleep(1.0)
         harness.put("i-1", state="draining")
-        harness.store.drop(words.SERVERS_TABLE, "i-2")
+        harness.store.drop(wirenames.SERVERS_TABLE, "i-2")
         await asyncio.sleep(KNOWN_S)
         harness.store.restore(2000)
         for _ in range(18):
--- a/tests/gateway/test_rebalancing.py
+++ b/tests/gateway/test_rebalancing.py
@@ -44,7 +44,8 @@
 
 def bench(large, small, **changes):
     """Returns a planner that has observed these loads for some seconds."""
-    planner_bench = planners.Bench(runners(**changes), scope(large, small))
+    planner_bench = planners.PlannerHarness(runners(**changes),
+                                            scope(large, small))
     for _ in range(2):
         planner_bench.step(1000.0)
     return planner_bench
@@ -132,7 +133,7 @@
 
 
 def test_declared_shares_count_until_enough_requests_were_observed():
-    planner_bench = planners.Bench(runners(), scope(1, 12))
+    planner_bench = planners.PlannerHarness(runners(), scope(1, 12))
     assert not orders_of(planner_bench.step(), orders.Operation.STAGE)
 
 
@@ -159,7 +160,7 @@
                            size,
                            place=where)
             loads[key] = inflight.GroupLoad(count)
-    planner_bench = planners.Bench(
+    planner_bench = planners.PlannerHarness(
         found, planning.Scope(frozenset({place}), 2, False, loads, PLACES))
     for _ in range(2):
         planner_bench.step(1000.0)
@@ -215,7 +216,7 @@
 
 def test_groups_are_formed_if_no_shares_are_declared():
     blank = [builders.runner(number) for number in range(1, 10)]
-    planner_bench = planners.Bench(blank, planners.BEFORE_TRAFFIC)
+    planner_bench = planners.PlannerHarness(blank, planners.BEFORE_TRAFFIC)
     planner_bench.service = builders.service(models=undeclared())
     assert orders_of(planner_bench.step(), orders.Operation.JOIN)
 
--- a/tests/gateway/test_reconciliation.py
+++ b/tests/gateway/test_reconciliation.py
@@ -10,7 +10,7 @@
     # A member dies; the head still accepts requests but makes no progress. Each
     # living member must leave by its own order before it joins another group,
     # or it would be in two.
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     bench.view.record_no_answer(joins[2].runner, bench.now_ms)
     leaves = planners.orders_of(bench.step(), orders.Operation.LEAVE)
@@ -27,7 +27,7 @@
 
 def test_unlisted_member_does_not_end_its_group():
     # It may have lost only its connection to the store; its group still serves.
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     gone = joins[2].runner
     remaining = [each for each in planners.warm_runners(5) if each.id != gone]
@@ -38,7 +38,7 @@
 
 
 def test_group_with_a_leaving_member_ends_when_it_has_no_requests():
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     leaving = [
         builders.runner(int(each.id[2:]),
@@ -63,7 +63,7 @@
                         served="large",
                         staged=("large",)) for number in range(4)
     ]
-    bench = planners.Bench(members)
+    bench = planners.PlannerHarness(members)
     bench.step()
     assert not planners.orders_of(bench.step(1000), orders.Operation.OPEN)
     bench.step(3000)
@@ -81,7 +81,7 @@
                         staged=("large",))
         for number, state in enumerate(states)
     ]
-    bench = planners.Bench(members)
+    bench = planners.PlannerHarness(members)
     for _ in range(100):
         assert not [
             each for each in bench.step() if isinstance(each, orders.Order)
@@ -95,7 +95,7 @@
     join with a guessed count, and each refusal ends the formation of a whole
     group.
     """
-    bench = planners.Bench(planners.warm_runners(4))
+    bench = planners.PlannerHarness(planners.warm_runners(4))
     for known in bench.view.known.values():
         known.has_exact_order_count = False
     actions = bench.step()
@@ -118,7 +118,7 @@
     One answers; the others were last probed during the partition. They are
     probed again, and the group goes on.
     """
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     group = [bench.view.known[each.runner] for each in joins]
     for each in group:
@@ -145,7 +145,7 @@
     member dies: its group must be formed again before requests are admitted
     again.
     """
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     bench.view.list_as_of_ms = bench.now_ms - bench.view.list_stale_ms - 1
     asked = probed(bench.step())
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("is_stale", [False, True])
 def test_members_are_not_probed_if_the_list_or_requests_observe_them(is_stale):
-    bench = planners.Bench(planners.warm_runners(5))
+    bench = planners.PlannerHarness(planners.warm_runners(5))
     joins = planners.open_group(bench)
     loads_now = {joins[0].group: inflight.GroupLoad(2)} if is_stale else {}
     bench.scope = planning.Scope(frozenset({"a"}), 1, False, loads_now)
--- a/tests/gateway/test_routetable.py
+++ b/tests/gateway/test_routetable.py
@@ -47,6 +47,6 @@
 def test_backends_are_drawn_by_weight_once_each():
     split = route("a", "/a/", backends=(("x", 90.0), ("y", 10.0), ("z", 0.0)))
     rng = random.Random(1)
-    first = [routetable.draw_backend_order(split, rng) for _ in range(1000)]
+    first = [routetable.draw_service_order(split, rng) for _ in range(1000)]
     assert 850 <= sum(each[0] == "x" for each in first) <= 940
     assert all(sorted(each) == ["x", "y"] for each in first)
--- a/tests/gateway/test_sourceselector.py
+++ b/tests/gateway/test_sourceselector.py
@@ -105,9 +105,9 @@
     lose_store(selector)
     assert selector.choose(NOW_MS + sourceselector.STORE_RETRY_MS +
                            1) == sourceselector.STORE
-    assert selector.is_store_lost
+    assert selector.has_reached_failure_limit
     selector.succeeded(sourceselector.STORE)
-    assert not selector.is_store_lost
+    assert not selector.has_reached_failure_limit
 
 
 def test_node_without_peers_asks_the_store_despite_failures():
@@ -165,7 +165,7 @@
     selector, _ = selector_and_peers(0, peer(3))
     selector.failed(sourceselector.STORE, NOW_MS)
     assert selector.choose(NOW_MS + 1) == sourceselector.STORE
-    assert not selector.is_store_lost
+    assert not selector.has_reached_failure_limit
 
 
 def test_peers_without_newer_data_are_not_asked():
--- a/tests/gateway/test_spares.py
+++ b/tests/gateway/test_spares.py
@@ -6,7 +6,7 @@
 
 def test_spares_are_kept_when_groups_are_first_formed():
     blank = [builders.runner(number) for number in range(1, 10)]
-    bench = planners.Bench(blank, planners.BEFORE_TRAFFIC)
+    bench = planners.PlannerHarness(blank, planners.BEFORE_TRAFFIC)
     formed = 0
     for _ in range(200):
         for order in planners.orders_of(bench.step(500), orders.Operation.JOIN):
@@ -17,7 +17,8 @@
 
 def test_cold_runners_are_staged_and_not_joined_once_there_is_traffic():
     # A join that has to load a model delays all other members by 16 s.
-    bench = planners.Bench(planners.warm_runners(3) + [builders.runner(9)])
+    bench = planners.PlannerHarness(
+        planners.warm_runners(3) + [builders.runner(9)])
     actions = bench.step()
     assert not planners.orders_of(actions, orders.Operation.JOIN)
     (stage,) = planners.orders_of(actions, orders.Operation.STAGE)
@@ -26,7 +27,7 @@
 
 def test_loads_stay_within_the_rate_limit():
     blank = [builders.runner(number) for number in range(1, 60)]
-    bench = planners.Bench(blank)
+    bench = planners.PlannerHarness(blank)
     times = []
     for _ in range(300):
         for order in planners.orders_of(bench.step(), orders.Operation.STAGE):
@@ -53,7 +54,7 @@
                 builders.runner(number, place=place)
                 for number in range(100 * generation, 100 * generation + 40)
             ]
-            bench = planners.Bench(
+            bench = planners.PlannerHarness(
                 runners,
                 planning.Scope(frozenset({place}), len(places), False, {}))
             for _ in range(10):
@@ -68,7 +69,7 @@
 def test_spares_that_cannot_form_a_group_load_another_model():
     # Two spares of each model in one domain would wait for further ones
     # forever.
-    bench = planners.Bench(
+    bench = planners.PlannerHarness(
         planners.warm_runners(2) + planners.warm_runners(2, "small", start=11))
     staged = []
     for _ in range(20):
@@ -103,8 +104,8 @@
                 planners.STATE.READY if rank else planners.STATE.OPEN))
         for rank in range(3)
     ]
-    bench = planners.Bench(served + small + planners.warm_runners(1) +
-                           planners.warm_runners(2, "small", start=11))
+    bench = planners.PlannerHarness(served + small + planners.warm_runners(1) +
+                                    planners.warm_runners(2, "small", start=11))
     for _ in range(20):
         assert not planners.orders_of(bench.step(), orders.Operation.STAGE)
 
@@ -115,7 +116,7 @@
     It loads for a planner that died, and its report does not show that. When it
     was asked again at once it refused each time, and each order takes a call.
     """
-    bench = planners.Bench([builders.runner(1)])
+    bench = planners.PlannerHarness([builders.runner(1)])
     (order,) = planners.orders_of(bench.step(), orders.Operation.STAGE)
     bench.planner.sent(order.runner)
     bench.planner.refused(order, "unfit", bench.now_ms)
@@ -147,7 +148,7 @@
         large: inflight.GroupLoad(4),
         small: inflight.GroupLoad(requests)
     })
-    bench = planners.Bench(runners, scope)
+    bench = planners.PlannerHarness(runners, scope)
     staged = []
     for _ in range(4):
         for order in planners.orders_of(bench.step(1000.0),
--- a/tests/gateway/test_statuspages.py
+++ b/tests/gateway/test_statuspages.py
@@ -4,13 +4,13 @@
 
 from cardamommill import metrics
 from cardamommill.gateway import callers, statuspages
-from cardamommill.platform import words
+from cardamommill.platform import wirenames
 from tests.gateway import relays
 
 
 @pytest.mark.parametrize("target,is_ready,status",
-                         [(words.READY_PATH, True, 200),
-                          (words.READY_PATH, False, 503),
+                         [(wirenames.READY_PATH, True, 200),
+                          (wirenames.READY_PATH, False, 503),
                           (statuspages.METRICS_PATH, False, 200),
                           ("/other", True, 404)])
 def test_status_of_each_page(target, is_ready, status):
--- a/tests/gateway/test_store_restore_machine.py
+++ b/tests/gateway/test_store_restore_machine.py
@@ -95,12 +95,12 @@
         lambda status: None)
     await server.listen(*READER)
     with upstream.Pool() as pool:
-        calls = storecalls.Store(pool, modelstore.ADDRESS)
+        calls = storecalls.StoreClient(pool, modelstore.ADDRESS)
         reader = tablereader.TableReader(calls, pool,
                                          _FixedSource(sourceselector.STORE),
                                          TABLE, copies.table(TABLE))
         follower = tablereader.TableReader(
-            storecalls.Store(pool, modelstore.ADDRESS), pool,
+            storecalls.StoreClient(pool, modelstore.ADDRESS), pool,
             _FixedSource(sourceselector.Source(READER)), TABLE,
             tablecopies.TableCopy())
         tasks = [
--- a/tests/gateway/test_tablecopies.py
+++ b/tests/gateway/test_tablecopies.py
@@ -29,7 +29,7 @@
         "a": False,
         "b": True
     }
-    assert [each.key for each in table.whole()] == ["a"]
+    assert [each.key for each in table.all_rows()] == ["a"]
     assert table.changes_since(5) == ()
 
 
@@ -64,14 +64,14 @@
         "c": False,
         "d": False
     }
-    assert sorted(each.key for each in table.whole()) == ["a", "c", "d"]
+    assert sorted(each.key for each in table.all_rows()) == ["a", "c", "d"]
 
 
 def test_older_answer_changes_nothing():
     table = tablecopies.TableCopy()
     table.apply_rows(rows(row("a", 5), version=5, as_of_ms=50.0), whole=True)
     table.apply_rows(rows(row("b", 2), version=4, as_of_ms=90.0), whole=True)
-    assert [each.key for each in table.whole()] == ["a"]
+    assert [each.key for each in table.all_rows()] == ["a"]
     assert table.as_of_ms == 50.0
 
 
@@ -82,11 +82,11 @@
                      whole=True)
     table.apply_rows(rows(row("a", 90), row("b", 97), version=97, era=1),
                      whole=True)
-    assert sorted(each.key for each in table.whole()) == ["a", "b"]
+    assert sorted(each.key for each in table.all_rows()) == ["a", "b"]
     # Followers know other rows by the same versions.
     assert table.changes_since(96) is None
     table.apply_rows(rows(row("late", 130), version=130), whole=False)
-    assert sorted(each.key for each in table.whole()) == ["a", "b"]
+    assert sorted(each.key for each in table.all_rows()) == ["a", "b"]
 
 
 def test_changes_of_an_unknown_era_are_ignored():
@@ -116,7 +116,7 @@
             _apply(followed, table.changes_since(seen))
             seen = table.version
     _apply(followed, table.changes_since(seen))
-    assert followed == {each.key: each for each in table.whole()}
+    assert followed == {each.key: each for each in table.all_rows()}
 
 
 def _apply(followed, changes):
--- a/tests/platform/test_storecalls.py
+++ b/tests/platform/test_storecalls.py
@@ -16,8 +16,8 @@
         store = modelstore.ModelStore()
         await store.listen()
         with upstream.Pool() as pool:
-            return await script(store, storecalls.Store(pool,
-                                                        modelstore.ADDRESS))
+            return await script(
+                store, storecalls.StoreClient(pool, modelstore.ADDRESS))
 
     with virtualloop.running(1) as loop:
         return loop.run_until_complete(main())
@@ -44,7 +44,7 @@
         asyncio.get_running_loop().call_later(0.5, store.put, "op", "config",
                                               {"version": 2})
         began_ms = clock.now_ms()
-        rows = await client.feed("op", rows.position, 1500)
+        rows = await client.wait_for_changes("op", rows.position, 1500)
         assert [each.key for each in rows.rows] == ["config"]
         assert 500 <= clock.now_ms() - began_ms < 520
 
@@ -58,7 +58,7 @@
     async def script(store, client):
         store.put("op", "config", {})
         rows = await client.table("op")
-        rows = await client.feed("op", rows.position, 1500)
+        rows = await client.wait_for_changes("op", rows.position, 1500)
         assert not rows.rows
         assert clock.now_ms() - rows.as_of_ms < 20
 
@@ -73,7 +73,8 @@
         await client.table("servers")
         store.compact()
         with pytest.raises(storecalls.HistoryLost):
-            await client.feed("op", eras.TablePosition(store.era, 0), 100)
+            await client.wait_for_changes("op",
+                                          eras.TablePosition(store.era, 0), 100)
 
     run(script)
 
@@ -116,8 +117,8 @@
         store.restore(500)
         store.put("op", "config", {"version": 3})
         store.put("op", "other", {})
-        with pytest.raises(storecalls.Restored):
-            await client.feed("op", before.position, 100)
+        with pytest.raises(storecalls.StoreRestored):
+            await client.wait_for_changes("op", before.position, 100)
         after = await client.table("op")
         assert after.position > before.position
         assert {each.key for each in after.rows} == {"config", "other"}
@@ -131,12 +132,12 @@
         store.put("op", "config", {})
         rows = await client.table("op")
         waiting = asyncio.get_running_loop().create_task(
-            client.feed("op", rows.position, 2000))
+            client.wait_for_changes("op", rows.position, 2000))
         await asyncio.sleep(0.2)
         store.era += 1
         began_ms = clock.now_ms()
         await client.table("servers")
-        with pytest.raises(storecalls.Restored):
+        with pytest.raises(storecalls.StoreRestored):
             await waiting
         assert clock.now_ms() - began_ms < 50
 
@@ -151,7 +152,7 @@
         rows = await client.table("op")
         client._observe_era(text, "test")
         assert client.eras.newest == store.era
-        again = await client.feed("op", rows.position, 50)
+        again = await client.wait_for_changes("op", rows.position, 50)
         assert again.position == rows.position
 
     run(script)
