--- a/cardamommill/gateway/alarms.py
+++ b/cardamommill/gateway/alarms.py
@@ -121,7 +121,7 @@
             self._handle_silent_group(key, now_ms)
         for key in self._requests.silence.stalled(now_ms):
             self._give_up(key,
-                          "group stalled",
+                          "group stands still",
                           now_ms + availablegroups.STALLED_AVOID_MS,
                           is_dead=False)
 
--- a/tests/gateway/test_alarms.py
+++ b/tests/gateway/test_alarms.py
@@ -186,7 +186,7 @@
 
 def test_requests_are_diverted_from_a_stalled_group():
     bench = run(lambda bench: bench.fall_silent(for_ms=1500))
-    assert bench.relay.reasons == ["group stalled"]
+    assert bench.relay.reasons == ["group stands still"]
     assert not bench.relay.is_dead
 
 
