--- a/cardamommill/experiment/comparing.py
+++ b/cardamommill/experiment/comparing.py
@@ -41,14 +41,14 @@
     variants = {"as it is": {}, **deployment.variants}
     for name, changes in variants.items():
         for seed in range(deployment.seed, deployment.seed + seeds):
-            with changed(changes):
+            with override_constants(changes):
                 outcome = world.play(deployment, seed)
             yield Played(name, seed, outcome,
                          deployment.lead_s + deployment.length_s)
 
 
 @contextlib.contextmanager
-def changed(constants: dict[str, float]) -> Iterator[None]:
+def override_constants(constants: dict[str, float]) -> Iterator[None]:
     """Changes named constants of decision modules for a while.
 
     Args:
@@ -84,9 +84,9 @@
 
 def table(rows: list[tuple[str, ...]]) -> str:
     """Returns rows under their columns."""
-    everything = [COLUMNS, *rows]
-    widths = [max(map(len, column)) for column in zip(*everything, strict=True)]
+    all_rows = [COLUMNS, *rows]
+    widths = [max(map(len, column)) for column in zip(*all_rows, strict=True)]
     return "\n".join("  ".join(
         text.ljust(width)
         for text, width in zip(row, widths, strict=True)).rstrip()
-                     for row in everything)
+                     for row in all_rows)
--- a/cardamommill/experiment/modelclients.py
+++ b/cardamommill/experiment/modelclients.py
@@ -9,9 +9,9 @@
 from cardamommill.gateway import clock, eventparser, fetching, upstream
 from cardamommill.platform import wirenames
 
-CONNECT_MS = 1000.0
+CONNECT_TIMEOUT_MS = 1000.0
 # Clients leave after this much silence.
-GAP_FLOOR_MS = 2000.0
+MIN_GAP_TIMEOUT_MS = 2000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 class _Receiver:
     """Takes an answer's bytes and checks them against the right ones."""
 
-    def __init__(self, kind: Kind, target: str, judge: oracle.Oracle,
+    def __init__(self, kind: Kind, target: str, run_oracle: oracle.Oracle,
                  attempt: str) -> None:
         self.done: asyncio.Future[str] = (
             asyncio.get_running_loop().create_future())
@@ -71,15 +71,15 @@
         self.next_id = 1
         self._kind = kind
         self._target = target
-        self._judge = judge
+        self._run_oracle = run_oracle
         self._attempt = attempt
-        self._cutter = eventparser.EventParser()
+        self._parser = eventparser.EventParser()
 
     def on_head(self, head: upstream.Head) -> bool:
         self.head = head
         self.status = head.status
         if head.status == 200 and head.get(wirenames.RESPONSE_SEAL) is None:
-            self._judge.broken("MIXED", f"{self._attempt}: 200 unsealed")
+            self._run_oracle.broken("MIXED", f"{self._attempt}: 200 unsealed")
         return True
 
     def on_body(self, data: bytes) -> None:
@@ -90,10 +90,10 @@
         if not self._kind.streaming:
             self.first_ms = self.first_ms or now_ms
             return
-        for event in self._cutter.feed(data):
+        for event in self._parser.feed(data):
             if event.data != rightanswers.event_bytes(self._target,
                                                       self.next_id):
-                self._judge.broken(
+                self._run_oracle.broken(
                     "ORDER", f"{self._attempt}: {event.data[:20]!r} in "
                     f"place of {self.next_id}")
             if self.first_ms:
@@ -108,7 +108,7 @@
         if ending is upstream.Ending.NOT_HTTP:
             # Counted as a failure only, a whole answer within a stream passed
             # for a runner that broke off.
-            self._judge.broken("MIXED", f"{self._attempt}: {reason}")
+            self._run_oracle.broken("MIXED", f"{self._attempt}: {reason}")
         if not self.done.done():
             self.done.set_result(ending.value if ending is
                                  upstream.Ending.COMPLETE else reason)
@@ -117,20 +117,20 @@
 class Clients:
     """All clients of one data centre."""
 
-    def __init__(self, world: Any, place: str, judge: oracle.Oracle,
+    def __init__(self, world: Any, place: str, run_oracle: oracle.Oracle,
                  seed: int) -> None:
         """Makes them.
 
         Args:
-            world: Gives `node_for(place)`, `all_keys` and `stride`.
+            world: Gives `choose_node(place)`, `all_keys` and `stride`.
             place: Their data centre.
-            judge: Who is told what was sent and received.
+            run_oracle: Who is told what was sent and received.
             seed: For all chance.
         """
         self._world = world
         self._place = place
-        self._judge = judge
-        self._chance = random.Random(f"{seed}-{place}")
+        self._run_oracle = run_oracle
+        self._rng = random.Random(f"{seed}-{place}")
         self._pool = upstream.Pool()
         self._count = 0
         self.factor = 1.0
@@ -141,7 +141,7 @@
         loop = asyncio.get_running_loop()
         while clock.now_ms() < until_ms:
             rate = max(1e-9, kind.per_s * self.factor)
-            await asyncio.sleep(self._chance.expovariate(rate))
+            await asyncio.sleep(self._rng.expovariate(rate))
             if clock.now_ms() >= until_ms:
                 return
             self._count += 1
@@ -150,12 +150,12 @@
     async def _request(self, kind: Kind, number: int) -> None:
         began_ms = clock.now_ms()
         target = f"{kind.prefix}{self._place}/{number}"
-        prompt = max(8, int(self._chance.expovariate(1) * kind.prompt_tokens))
+        prompt = max(8, int(self._rng.expovariate(1) * kind.prompt_tokens))
         prompt = min(prompt, int(4 * kind.prompt_tokens) or 8)
-        answer = max(1, int(self._chance.expovariate(1) * kind.answer_tokens))
+        answer = max(1, int(self._rng.expovariate(1) * kind.answer_tokens))
         answer = min(answer, int(3 * kind.answer_tokens) or 1)
         # Some go on with a key that was taken away; they are owed nothing.
-        tenant, key = self._chance.choice(self._world.all_keys)
+        tenant, key = self._rng.choice(self._world.all_keys)
         owed = kind.worth
         result = Result(kind.name,
                         self._place,
@@ -168,14 +168,13 @@
             left_ms = began_ms + kind.deadline_ms - clock.now_ms()
             if left_ms < 50:
                 break
-            again_ms = await self._attempt(kind, target, prompt, answer, tenant,
-                                           key, began_ms, left_ms,
-                                           f"{self._place}-{number}-{retry}",
-                                           result)
-            if again_ms is None:
+            retry_after_ms = await self._attempt(
+                kind, target, prompt, answer, tenant, key, began_ms, left_ms,
+                f"{self._place}-{number}-{retry}", result)
+            if retry_after_ms is None:
                 break
-            await asyncio.sleep(min(again_ms, left_ms / 3) / 1000)
-        if key not in self._judge.revoked_ms:
+            await asyncio.sleep(min(retry_after_ms, left_ms / 3) / 1000)
+        if key not in self._run_oracle.revoked_ms:
             self.results.append(result)
 
     async def _attempt(self, kind: Kind, target: str, prompt: int, answer: int,
@@ -190,13 +189,13 @@
             headers += [(wirenames.MODEL, self._world.model_name(kind.model)),
                         (wirenames.TOKEN_COUNTS, f"{prompt},{answer}"),
                         (wirenames.LENGTH_HINT, str(answer))]
-        address = self._world.node_for(self._place, self._chance)
-        self._judge.client_sends(
+        address = self._world.choose_node(self._place, self._rng)
+        self._run_oracle.record_send(
             attempt,
             oracle.Sent(clock.now_ms(), kind.method, target, body, key, tenant,
                         kind.service, kind.repeatable,
                         address[0] if address else ""))
-        receiver = _Receiver(kind, target, self._judge, attempt)
+        receiver = _Receiver(kind, target, self._run_oracle, attempt)
         if address is None:
             return 100.0
         exchange = self._pool.send(address,
@@ -204,12 +203,12 @@
                                        kind.method, target, headers, body),
                                    receiver,
                                    new_connection=True)
-        end = await self._wait(kind, receiver, exchange, left_ms)
-        self._judge.client_got(attempt, receiver.status)
+        end = await self._wait_for_end(kind, receiver, exchange, left_ms)
+        self._run_oracle.record_final_status(attempt, receiver.status)
         result.status = receiver.status
         complete = end == upstream.Ending.COMPLETE.value
         if receiver.status == 200 and complete:
-            self._check_whole(kind, receiver, target, answer, attempt)
+            self._check_complete(kind, receiver, target, answer, attempt)
             result.first_ms = receiver.first_ms - began_ms
             in_aim = (result.first_ms <= kind.goal_ms and
                       receiver.longest_gap_ms <= kind.gap_goal_ms)
@@ -226,28 +225,28 @@
             return None
         return 50.0 if kind.repeatable else None
 
-    async def _wait(self, kind: Kind, receiver: _Receiver,
-                    exchange: upstream.Exchange, left_ms: float) -> str:
-        gap_ms = max(GAP_FLOOR_MS, 4 * kind.goal_ms, 8 * kind.gap_goal_ms)
+    async def _wait_for_end(self, kind: Kind, receiver: _Receiver,
+                            exchange: upstream.Exchange, left_ms: float) -> str:
+        gap_ms = max(MIN_GAP_TIMEOUT_MS, 4 * kind.goal_ms, 8 * kind.gap_goal_ms)
         end_ms = clock.now_ms() + left_ms
         last_ms = clock.now_ms()
         while not receiver.done.done():
             last_ms = max(last_ms, receiver.last_ms)
             now_ms = clock.now_ms()
-            quiet = kind.streaming and now_ms - last_ms > gap_ms
-            unopened = not exchange.sent and now_ms - last_ms > CONNECT_MS
-            if now_ms >= end_ms or quiet or unopened:
+            stalled = kind.streaming and now_ms - last_ms > gap_ms
+            unsent = not exchange.sent and now_ms - last_ms > CONNECT_TIMEOUT_MS
+            if now_ms >= end_ms or stalled or unsent:
                 exchange.cancel()
                 return "gave up"
             await asyncio.sleep(0.02)
         return receiver.done.result()
 
-    def _check_whole(self, kind: Kind, receiver: _Receiver, target: str,
-                     answer: int, attempt: str) -> None:
+    def _check_complete(self, kind: Kind, receiver: _Receiver, target: str,
+                        answer: int, attempt: str) -> None:
         if kind.streaming:
             stride = self._world.stride(kind.service)
             if receiver.next_id - 1 != -(-answer // stride):
-                self._judge.broken(
+                self._run_oracle.broken(
                     "ORDER", f"{attempt}: ended after {receiver.next_id - 1}")
         elif bytes(receiver.body) != rightanswers.plain_body(target):
-            self._judge.broken("MIXED", f"{attempt}: another body")
+            self._run_oracle.broken("MIXED", f"{attempt}: another body")
--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -73,7 +73,7 @@
         limit_per_s: The rate limit that it names, if it has one.
         late_orders_ms: If not 0, orders get no answer and are carried out late.
         begun: Its count of orders.
-        beat_ms: When the platform heard of it last.
+        last_heartbeat_ms: When the platform heard of it last.
         jobs: The requests that it has.
     """
 
@@ -101,12 +101,12 @@
         self.limit_per_s: float | None = None
         self.late_orders_ms = 0.0
         self.begun = 0
-        self.beat_ms = clock.now_ms()
+        self.last_heartbeat_ms = clock.now_ms()
         self.jobs: list[Job] = []
-        self._told = b""
-        self._told_era = fleet.store.era
+        self._last_row = b""
+        self._last_era = fleet.store.era
         # When it told that it leaves, to a store that had lost it.
-        self.told_again_ms = -math.inf
+        self.reregistered_ms = -math.inf
         self._reports: list[tuple[float, dict[str, Any]]] = []
         fleet.runners[runner_id] = self
 
@@ -123,9 +123,9 @@
         return loop.network
 
     @property
-    def dark(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether it neither hears nor speaks."""
-        return self.ended or self.network.host(self.host).dark
+        return self.ended or self.network.host(self.host).is_unreachable
 
     @property
     def running(self) -> int:
@@ -142,41 +142,41 @@
 
     def acknowledged_leaving_ms(self) -> float:
         """Returns for how long the store has held that it leaves."""
-        if self.fleet.store.fault or self._told_era != self.fleet.store.era:
+        if self.fleet.store.fault or self._last_era != self.fleet.store.era:
             return 0.0
-        return clock.now_ms() - max(self.leaving_ms, self.told_again_ms)
+        return clock.now_ms() - max(self.leaving_ms, self.reregistered_ms)
 
     def drain(self) -> None:
         """Tells that it will leave."""
         self.leaving = True
         self.leaving_ms = clock.now_ms()
-        self.beat()
+        self.send_heartbeat()
 
-    def become(self, state: model.MemberState) -> None:
+    def set_state(self, state: model.MemberState) -> None:
         """Changes its state in its group, and tells so."""
         assert self.membership is not None
         self.membership = dataclasses.replace(self.membership, state=state)
-        self.beat()
+        self.send_heartbeat()
 
     # What it tells.
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tells what it is; after a change at once."""
         entry = self._entry()
         self._reports.append((clock.now_ms(), self._report(entry)))
         del self._reports[:-REPORTS_KEPT]
-        if self.dark or self.store_cut or self.fleet.store.fault:
+        if self.is_unreachable or self.store_cut or self.fleet.store.fault:
             return
-        self.beat_ms = clock.now_ms()
+        self.last_heartbeat_ms = clock.now_ms()
         # The platform's rows change when more than the heartbeat does.
         told = json.dumps(entry | {"seq": 0}).encode()
         store = self.fleet.store
-        if (told != self._told or store.era != self._told_era or
+        if (told != self._last_row or store.era != self._last_era or
                 store.get(wirenames.SERVERS_TABLE, self.id) is None):
-            self._told = told
-            if store.era != self._told_era:
-                self.told_again_ms = clock.now_ms()
-            self._told_era = store.era
+            self._last_row = told
+            if store.era != self._last_era:
+                self.reregistered_ms = clock.now_ms()
+            self._last_era = store.era
             self.fleet.store.put(wirenames.SERVERS_TABLE, self.id, entry)
 
     def report(self) -> dict[str, Any]:
@@ -194,34 +194,34 @@
         """Answers that a request did not run here."""
         rest = []
         if self.rest_s:
-            self.fleet.oracle.asks_for_rest(job.attempt, self.id,
-                                            1000 * self.rest_s)
+            self.fleet.oracle.record_rest_request(job.attempt, self.id,
+                                                  1000 * self.rest_s)
             rest = [(wirenames.RETRY_AFTER, f"{self.rest_s:g}")]
-        job.reply.send(
-            503,
-            [(wirenames.ATTEMPT_ID, job.attempt), (wirenames.NOT_EXECUTED, "1"),
-             (wirenames.AT_SERVER, self.id), *rest, *self._advice(job)], b"")
+        job.reply.send(503, [(wirenames.ATTEMPT_ID, job.attempt),
+                             (wirenames.NOT_EXECUTED, "1"),
+                             (wirenames.AT_SERVER, self.id), *rest,
+                             *self._flow_control_headers(job)], b"")
 
-    def _advice(self, job: Job) -> list[tuple[str, str]]:
+    def _flow_control_headers(self, job: Job) -> list[tuple[str, str]]:
         """Returns what all its answers ask of its callers."""
-        judge = self.fleet.oracle
-        judge.names_limit(job.attempt, self.id, self.limit_per_s)
+        run_oracle = self.fleet.oracle
+        run_oracle.record_rate_limit(job.attempt, self.id, self.limit_per_s)
         told = []
         if self.limit_per_s is not None:
             told.append((wirenames.SERVER_LIMIT, f"{self.limit_per_s:g}"))
         if self.leaving:
-            judge.tells_leaving(job.attempt, self.id)
+            run_oracle.record_leaving(job.attempt, self.id)
             told.append((wirenames.SERVER_LEAVING, "1"))
         return told
 
-    def answer_head(self, job: Job) -> list[tuple[str, str]]:
+    def answer_headers(self, job: Job) -> list[tuple[str, str]]:
         """Returns the head fields of an answer."""
         running = self.running
         return [(wirenames.ATTEMPT_ID, job.attempt),
                 (wirenames.RESPONSE_SEAL, f"{self.id}.{job.attempt}"),
                 (wirenames.SERVER_LOAD,
                  f"{running},{len(self.jobs) - running},{self.slots}"),
-                ("Keep-Alive", "timeout=5"), *self._advice(job)]
+                ("Keep-Alive", "timeout=5"), *self._flow_control_headers(job)]
 
     def _entry(self) -> dict[str, Any]:
         entry: dict[str, Any] = {
--- a/cardamommill/experiment/modelorders.py
+++ b/cardamommill/experiment/modelorders.py
@@ -8,35 +8,35 @@
 
 REJOIN_MS = 200.0
 # Before the first request loads take this part of their time.
-LEAD_PART = 0.1
+PRELOAD_TIME_RATIO = 0.1
 
 
-class Orders:
+class OrderExecutor:
     """Carries out the orders of one runner; a method for each operation."""
 
     def __init__(self, runner: modelfleet.ListedRunner,
-                 passes: modelpasses.Passes) -> None:
+                 passes: modelpasses.ForwardPasses) -> None:
         self._runner = runner
         self._passes = passes
         self._epoch = 0
         self._stages: dict[str, float] = {}
 
-    def carry_out(self, order: dict[str, Any]) -> int:
+    def execute(self, order: dict[str, Any]) -> int:
         """Begins what an order asks; returns the answer's status."""
-        if self._runner.dark:
+        if self._runner.is_unreachable:
             return 503
         expected = order.get("expected")
         if expected is not None and expected != self._runner.begun:
             return 409
-        acts = {
+        handlers = {
             "join": self._join,
             "open": self._open,
             "close": self._close,
             "leave": self._leave,
             "stage": self._stage,
         }
-        act = acts.get(order["operation"])
-        return act(order) if act is not None else 400
+        handler = handlers.get(order["operation"])
+        return handler(order) if handler is not None else 400
 
     def _model(self, name: str) -> model.ServedModel:
         engine = self._runner.engine
@@ -55,7 +55,7 @@
         if before is not None and before.key == key:
             return 200 if members == runner.members else 412
         if before is not None:
-            self._check_two(before.key)
+            self._check_single_group(before.key)
         self._epoch = key.epoch
         runner.begun += 1
         served = self._model(order["model"])
@@ -64,12 +64,12 @@
         runner.membership = model.Membership(key.name, key.epoch,
                                              members.index(runner.id),
                                              model.MemberState.JOINING)
-        runner.beat()
+        runner.send_heartbeat()
         asyncio.get_running_loop().create_task(
             self._become_ready(key, members, served))
         return 202
 
-    def _check_two(self, key: model.GroupKey) -> None:
+    def _check_single_group(self, key: model.GroupKey) -> None:
         fleet = self._runner.fleet
         for other in fleet.runners.values():
             place = other.membership
@@ -93,7 +93,7 @@
             return
         runner.last_model = served.name
         runner.fleet.oracle.ready[(key, members)].add(runner.id)
-        runner.become(model.MemberState.READY)
+        runner.set_state(model.MemberState.READY)
 
     async def _load(self, served: model.ServedModel) -> None:
         engine = self._runner.engine
@@ -104,11 +104,11 @@
             return
         fleet = self._runner.fleet
         if not fleet.is_before_traffic:
-            fleet.oracle.load_begins()
+            fleet.oracle.record_load()
         fleet.loading += 1
-        slowed = max(1.0, fleet.loading / engine.loads_at_once)
-        load_ms = served.load_ms * slowed * (LEAD_PART
-                                             if fleet.is_before_traffic else 1)
+        slowdown = max(1.0, fleet.loading / engine.loads_at_once)
+        load_ms = served.load_ms * slowdown * (PRELOAD_TIME_RATIO if
+                                               fleet.is_before_traffic else 1)
         self._stages[served.name] = clock.now_ms() + load_ms
         try:
             await asyncio.sleep(load_ms / 1000)
@@ -116,7 +116,7 @@
             fleet.loading -= 1
             self._stages.pop(served.name, None)
         self._runner.staged = (served.name,)
-        self._runner.beat()
+        self._runner.send_heartbeat()
 
     def _state_as_head(self, key: model.GroupKey) -> model.MemberState | None:
         """Returns its state in a group whose head it is."""
@@ -140,7 +140,7 @@
         assert engine is not None
         await asyncio.sleep(engine.form_ms / 1000)
         if self._runner.is_in(key):
-            self._runner.become(model.MemberState.OPEN)
+            self._runner.set_state(model.MemberState.OPEN)
 
     def _close(self, order: dict[str, Any]) -> int:
         state = self._state_as_head(_key(order))
@@ -149,15 +149,16 @@
         if state is not model.MemberState.OPEN:
             return 200
         self._runner.begun += 1
-        self._runner.become(model.MemberState.CLOSING)
-        asyncio.get_running_loop().create_task(self._end_closing(_key(order)))
+        self._runner.set_state(model.MemberState.CLOSING)
+        asyncio.get_running_loop().create_task(self._finish_closing(
+            _key(order)))
         return 202
 
-    async def _end_closing(self, key: model.GroupKey) -> None:
+    async def _finish_closing(self, key: model.GroupKey) -> None:
         while self._runner.jobs:
             await asyncio.sleep(0.02)
         if self._state_as_head(key) is model.MemberState.CLOSING:
-            self._runner.become(model.MemberState.READY)
+            self._runner.set_state(model.MemberState.READY)
 
     def _leave(self, order: dict[str, Any]) -> int:
         if self._runner.is_in(_key(order)):
@@ -165,7 +166,7 @@
             self._runner.membership = None
             self._runner.members = ()
             self._passes.cut()
-            self._runner.beat()
+            self._runner.send_heartbeat()
         return 200
 
     def _stage(self, order: dict[str, Any]) -> int:
--- a/cardamommill/experiment/modelpasses.py
+++ b/cardamommill/experiment/modelpasses.py
@@ -9,15 +9,15 @@
 
 # A head whose member is gone notices after this.
 STALL_MS = 4000.0
-QUEUE_PART = 2
+QUEUE_RATIO = 2
 
 
-class Passes:
+class ForwardPasses:
     """Reads prompts and makes events for the requests of one runner."""
 
     def __init__(self, runner: modelfleet.ListedRunner) -> None:
         self._runner = runner
-        self._passing = False
+        self._is_running = False
 
     def take(self, job: modelfleet.Job) -> modelfleet.Job | None:
         """Takes a request, or answers that it did not run."""
@@ -33,7 +33,7 @@
         if job.request.get(wirenames.MODEL) != runner.served:
             job.reply.send(421, [(wirenames.INSTANCE_ID, runner.id)], b"")
             return None
-        if len(runner.jobs) >= engine.slots * (1 + QUEUE_PART):
+        if len(runner.jobs) >= engine.slots * (1 + QUEUE_RATIO):
             runner.shed(job)
             return None
         tokens = [
@@ -46,8 +46,8 @@
         job.next_id = last + 1
         job.events_left = max(0, events - last)
         runner.jobs.append(job)
-        if not self._passing:
-            self._passing = True
+        if not self._is_running:
+            self._is_running = True
             asyncio.get_running_loop().create_task(self._run(membership.key))
         return job
 
@@ -75,18 +75,19 @@
             if self._missing_member(key):
                 await asyncio.sleep(STALL_MS / 1000)
                 if runner.is_in(key):
-                    runner.become(model.MemberState.BROKEN)
+                    runner.set_state(model.MemberState.BROKEN)
                 self.cut()
                 break
-            await self._one_pass(engine, served, key)
-        self._passing = False
+            await self._run_pass(engine, served, key)
+        self._is_running = False
 
     def _missing_member(self, key: model.GroupKey) -> bool:
         members = map(self._runner.fleet.runners.__getitem__,
                       self._runner.members)
-        return any(each.dark or not each.is_in(key) for each in members)
+        return any(
+            each.is_unreachable or not each.is_in(key) for each in members)
 
-    async def _one_pass(self, engine: model.Engine, served: model.ServedModel,
+    async def _run_pass(self, engine: model.Engine, served: model.ServedModel,
                         key: model.GroupKey) -> None:
         runner = self._runner
         runner.jobs = [each for each in runner.jobs if not each.gone]
@@ -106,17 +107,18 @@
             read += part
         pass_ms = (engine.stride *
                    (engine.step_ms + len(running) * engine.per_sequence_ms) +
-                   read / engine.read_tokens_per_ms) * self._factor(
+                   read / engine.read_tokens_per_ms) * self._slowdown(
                        engine, served)
         await asyncio.sleep(pass_ms / 1000)
-        if self._missing_member(key) or runner.dark:
+        if self._missing_member(key) or runner.is_unreachable:
             return
         for job in running:
             if job.to_read <= 0 and not job.gone:
                 self._emit(job, key, served)
         runner.jobs = [each for each in runner.jobs if not each.reply.ended]
 
-    def _factor(self, engine: model.Engine, served: model.ServedModel) -> float:
+    def _slowdown(self, engine: model.Engine,
+                  served: model.ServedModel) -> float:
         """Returns how many times as long this group takes for everything."""
         runners = self._runner.fleet.runners
         members = [runners[each] for each in self._runner.members]
@@ -128,11 +130,12 @@
               served: model.ServedModel) -> None:
         runner = self._runner
         if not job.reply.started:
-            judge = runner.fleet.oracle
-            judge.begins(job.attempt, runner.id)
-            judge.begins_in_group(job.attempt, key, runner.members, served.size)
+            run_oracle = runner.fleet.oracle
+            run_oracle.record_execution(job.attempt, runner.id)
+            run_oracle.check_group(job.attempt, key, runner.members,
+                                   served.size)
             job.reply.start(200, [("Content-Type", "text/event-stream"),
-                                  *runner.answer_head(job)])
+                                  *runner.answer_headers(job)])
         if job.events_left > 0:
             job.reply.write(
                 rightanswers.event_bytes(job.request.target, job.next_id))
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -14,7 +14,7 @@
 from cardamommill.platform import wirenames
 
 # A plain runner takes this many times its slots.
-PLAIN_QUEUE = 4
+PLAIN_CAPACITY_RATIO = 4
 
 
 class ModelRunner(modelfleet.ListedRunner):
@@ -31,8 +31,8 @@
                  work_ms: float = 40.0) -> None:
         super().__init__(fleet, runner_id, host, place, domain, service, slots)
         self._work_ms = work_ms
-        self._passes = modelpasses.Passes(self)
-        self._orders = modelorders.Orders(self, self._passes)
+        self._passes = modelpasses.ForwardPasses(self)
+        self._order_executor = modelorders.OrderExecutor(self, self._passes)
         self._server = callers.CallerServer(self._on_request, lambda _: None)
 
     async def live(self) -> None:
@@ -40,7 +40,7 @@
         self.network.host(self.host).place = self.place
         await self._server.listen(self.host, modelfleet.PORT)
         while not self.ended:
-            self.beat()
+            self.send_heartbeat()
             await asyncio.sleep(modelfleet.HEARTBEAT_MS / 1000)
 
     def _on_request(self, request: callers.CallerRequest,
@@ -62,17 +62,18 @@
                             reply: replies.Reply) -> None:
         if self.late_orders_ms:
             await asyncio.sleep(self.late_orders_ms / 1000)
-            self._orders.carry_out(order)
+            self._order_executor.execute(order)
             return
-        reply.send(self._orders.carry_out(order), [], b"")
+        reply.send(self._order_executor.execute(order), [], b"")
 
     def _take_job(self, request: callers.CallerRequest,
                   reply: replies.Reply) -> modelfleet.Job | None:
         attempt = request.get(wirenames.ATTEMPT_ID) or ""
         self.fleet.is_before_traffic = False
-        self.fleet.oracle.arrives(attempt, self.service, self.id,
-                                  request.get(wirenames.TENANT) or "",
-                                  request.method, request.target, request.body)
+        self.fleet.oracle.record_arrival(attempt, self.service, self.id,
+                                         request.get(wirenames.TENANT) or "",
+                                         request.method, request.target,
+                                         request.body)
         if self.acknowledged_leaving_ms() > 2000:
             self.fleet.oracle.broken("DRAIN", f"{attempt} at {self.id}")
         job = modelfleet.Job(request, reply, attempt,
@@ -89,14 +90,14 @@
         return self._passes.take(job)
 
     def _fail(self, job: modelfleet.Job) -> None:
-        self.fleet.oracle.begins(job.attempt, self.id)
+        self.fleet.oracle.record_execution(job.attempt, self.id)
         if self.fault is modelfleet.Fault.ERROR:
-            job.reply.send(500, self.answer_head(job), b"")
+            job.reply.send(500, self.answer_headers(job), b"")
         else:
             job.reply.abort()
 
     def _take_plain(self, job: modelfleet.Job) -> modelfleet.Job | None:
-        if len(self.jobs) >= self.slots * PLAIN_QUEUE:
+        if len(self.jobs) >= self.slots * PLAIN_CAPACITY_RATIO:
             self.shed(job)
             return None
         self.jobs.append(job)
@@ -108,9 +109,9 @@
             await asyncio.sleep(0.005)
         if not job.gone:
             job.running = True
-            self.fleet.oracle.begins(job.attempt, self.id)
+            self.fleet.oracle.record_execution(job.attempt, self.id)
             await asyncio.sleep(self._work_ms * self.pace / 1000)
         self.jobs.remove(job)
-        if not job.gone and not self.dark:
-            job.reply.send(200, self.answer_head(job),
+        if not job.gone and not self.is_unreachable:
+            job.reply.send(200, self.answer_headers(job),
                            rightanswers.plain_body(job.request.target))
--- a/cardamommill/experiment/modelstore.py
+++ b/cardamommill/experiment/modelstore.py
@@ -70,9 +70,9 @@
         """Forgets the history."""
         self.history_from = self.version + 1
 
-    def restore(self, back_ms: float) -> None:
+    def restore(self, loss_ms: float) -> None:
         """Comes back from a backup: what was written since is gone."""
-        as_of_ms = clock.now_ms() - back_ms
+        as_of_ms = clock.now_ms() - loss_ms
         self._written = [each for each in self._written if each[0] <= as_of_ms]
         self.tables = {}
         self.version = 0
--- a/cardamommill/experiment/oracle.py
+++ b/cardamommill/experiment/oracle.py
@@ -13,7 +13,7 @@
 RATE_OVERAGE = 1.5
 RATE_EXTRA = 5
 # A machine that has read an answer heeds it after this.
-HEEDED_MS = 500.0
+REACTION_MS = 500.0
 # A runner that asked a machine for rest gets at most this many more from it.
 REST_EXTRA = 2
 
@@ -49,18 +49,18 @@
     Attributes:
         per_s: Requests a second from all machines.
         since_ms: When it was first named.
-        told_ms: When each machine was first told.
+        informed_ms: When each machine was first told.
         arrivals_ms: When requests of machines that were told came.
     """
 
     per_s: float
     since_ms: float
-    told_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    informed_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     arrivals_ms: list[float] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
-class Rest:
+class RestPeriod:
     """A time in which a runner wants nothing from a machine.
 
     Attributes:
@@ -101,14 +101,15 @@
                          set[str]] = collections.defaultdict(set)
         self.revoked_ms: dict[str, float] = {}
         self.loads_ms: list[float] = []
-        self._firsts: dict[str, list[float]] = collections.defaultdict(list)
-        self._repeats: dict[str, list[float]] = collections.defaultdict(list)
+        self._first_sends_ms: dict[str,
+                                   list[float]] = collections.defaultdict(list)
+        self._repeats_ms: dict[str, list[float]] = collections.defaultdict(list)
         self._rate_limits: dict[str, RateLimit] = {}
         # By runner and machine.
         self._rests: dict[tuple[str, str],
-                          list[Rest]] = collections.defaultdict(list)
+                          list[RestPeriod]] = collections.defaultdict(list)
         # By runner and machine.
-        self._leaving_told_ms: dict[tuple[str, str], float] = {}
+        self._leaving_informed_ms: dict[tuple[str, str], float] = {}
         # Loads count only while the platform's store is well.
         self.counts_loads = True
 
@@ -116,13 +117,14 @@
         """Notes a broken rule."""
         self.violations.append(Violation(rule, text, clock.now_ms()))
 
-    def client_sends(self, attempt: str, sent: Sent) -> None:
+    def record_send(self, attempt: str, sent: Sent) -> None:
         """Notes a client attempt."""
         self.sent[attempt] = sent
-        self._firsts[sent.service].append(sent.at_ms)
+        self._first_sends_ms[sent.service].append(sent.at_ms)
 
-    def arrives(self, attempt: str, service: str, runner: str, tenant: str,
-                method: str, target: str, body: bytes) -> None:
+    def record_arrival(self, attempt: str, service: str, runner: str,
+                       tenant: str, method: str, target: str,
+                       body: bytes) -> None:
         """Notes a request at a runner."""
         sent = self.sent.get(attempt)
         if sent is None:
@@ -139,23 +141,23 @@
         self._check_leaving(attempt, runner)
         self.arrivals[attempt] += 1
         if self.arrivals[attempt] > 1:
-            self._repeats[service].append(clock.now_ms())
+            self._repeats_ms[service].append(clock.now_ms())
             self._check_budget(service)
 
     def _check_budget(self, service: str) -> None:
         now_ms = clock.now_ms()
         since_ms = now_ms - REPEAT_WINDOW_MS
-        repeats = sum(each > since_ms for each in self._repeats[service])
+        repeats = sum(each > since_ms for each in self._repeats_ms[service])
         firsts = max(
             sum(since_ms - shift < each <= now_ms - shift
-                for each in self._firsts[service])
+                for each in self._first_sends_ms[service])
             for shift in (0.0, REPEAT_WINDOW_MS / 2, REPEAT_WINDOW_MS))
         limits = self._limits
         if repeats > limits.retry_ratio * firsts + limits.retry_slack:
             self.broken("BUDGET", f"{service}: {repeats} repeats")
 
-    def names_limit(self, attempt: str, runner: str,
-                    per_s: float | None) -> None:
+    def record_rate_limit(self, attempt: str, runner: str,
+                          per_s: float | None) -> None:
         """Notes what a runner's answer says of its rate limit."""
         if per_s is None:
             self._rate_limits.pop(runner, None)
@@ -165,43 +167,45 @@
         limit.per_s = per_s
         sent = self.sent.get(attempt)
         if sent is not None:
-            limit.told_ms.setdefault(sent.machine, now_ms)
+            limit.informed_ms.setdefault(sent.machine, now_ms)
 
-    def tells_leaving(self, attempt: str, runner: str) -> None:
+    def record_leaving(self, attempt: str, runner: str) -> None:
         """Notes an answer that says that its runner leaves."""
         machine = self.sent[attempt].machine
-        self._leaving_told_ms.setdefault((runner, machine), clock.now_ms())
+        self._leaving_informed_ms.setdefault((runner, machine), clock.now_ms())
 
     def _check_leaving(self, attempt: str, runner: str) -> None:
         sent = self.sent[attempt]
-        told_ms = self._leaving_told_ms.get((runner, sent.machine))
-        if (told_ms is not None and
-                sent.at_ms > told_ms + self._limits.drain_ms):
+        informed_ms = self._leaving_informed_ms.get((runner, sent.machine))
+        if (informed_ms is not None and
+                sent.at_ms > informed_ms + self._limits.drain_ms):
             self.broken(
                 "DRAIN", f"{attempt} at {runner}, which had told "
                 f"{sent.machine} that it leaves")
 
-    def machine_restarted(self, machine: str) -> None:
+    def record_restart(self, machine: str) -> None:
         """Notes a restart of a machine, which forgets what it read."""
-        self.machine_cut(machine)
-        for told in [each for each in self._leaving_told_ms if machine in each]:
-            del self._leaving_told_ms[told]
+        self.record_partition(machine)
+        for told in [
+                each for each in self._leaving_informed_ms if machine in each
+        ]:
+            del self._leaving_informed_ms[told]
 
-    def machine_cut(self, machine: str) -> None:
+    def record_partition(self, machine: str) -> None:
         """Notes a cut of a machine, which excuses what others don't tell it."""
         for limit in self._rate_limits.values():
-            limit.told_ms.pop(machine, None)
+            limit.informed_ms.pop(machine, None)
         for (_, resting), rests in self._rests.items():
             if resting == machine:
                 rests.clear()
 
-    def asks_for_rest(self, attempt: str, runner: str, rest_ms: float) -> None:
+    def record_rest_request(self, attempt: str, runner: str,
+                            rest_ms: float) -> None:
         """Notes a refusal that says how long its runner wants nothing."""
         now_ms = clock.now_ms()
         machine = self.sent[attempt].machine
-        self._rests[(runner,
-                     machine)].append(Rest(now_ms + HEEDED_MS,
-                                           now_ms + rest_ms))
+        self._rests[(runner, machine)].append(
+            RestPeriod(now_ms + REACTION_MS, now_ms + rest_ms))
 
     def _check_rests(self, machine: str, runner: str) -> None:
         now_ms = clock.now_ms()
@@ -218,7 +222,7 @@
         limit = self._rate_limits.get(runner)
         now_ms = clock.now_ms()
         if (limit is None or
-                limit.told_ms.get(machine, now_ms) + HEEDED_MS > now_ms):
+                limit.informed_ms.get(machine, now_ms) + REACTION_MS > now_ms):
             return
         limit.arrivals_ms.append(now_ms)
         recent = sum(
@@ -229,7 +233,7 @@
                 now_ms - limit.since_ms > self._limits.contact_ms):
             self.broken("LIMIT", f"{runner}: {recent} requests in a window")
 
-    def begins(self, attempt: str, runner: str) -> None:
+    def record_execution(self, attempt: str, runner: str) -> None:
         """Notes that a runner begins to work on a request."""
         sent = self.sent.get(attempt)
         runs = self.runs[attempt]
@@ -246,17 +250,17 @@
                 sent.at_ms > revoked_ms + self._limits.revoke_ms):
             self.broken("CONFIG", f"{attempt} ran with a revoked key")
 
-    def begins_in_group(self, attempt: str, key: model.GroupKey,
-                        members: tuple[str, ...], size: int) -> None:
+    def check_group(self, attempt: str, key: model.GroupKey,
+                    members: tuple[str, ...], size: int) -> None:
         """Checks the group in which a request begins to run."""
         if len(members) != size:
             self.broken("PARTIAL", f"{attempt} in {key} of {len(members)}")
-        never = set(members) - self.ready[(key, members)]
-        if never:
+        never_ready = set(members) - self.ready[(key, members)]
+        if never_ready:
             self.broken("PARTIAL",
-                        f"{attempt} in {key}: {never} was never ready")
+                        f"{attempt} in {key}: {never_ready} was never ready")
 
-    def client_got(self, attempt: str, status: int) -> None:
+    def record_final_status(self, attempt: str, status: int) -> None:
         """Notes a final answer."""
         if status not in (408, 421, 429, 503):
             return
@@ -265,7 +269,7 @@
         if not sent.repeatable and self.runs.get(attempt):
             self.broken("REFUSED", f"{attempt} had run and got {status}")
 
-    def load_begins(self) -> None:
+    def record_load(self) -> None:
         """Notes a load from the weight store."""
         if not self.counts_loads:
             return
--- a/cardamommill/experiment/page.py
+++ b/cardamommill/experiment/page.py
@@ -44,8 +44,8 @@
 
 
 def _plots(played: comparing.Played) -> str:
-    drawn = figure.Figure(figsize=(11, 6.5), layout="constrained")
-    above, middle, below = drawn.subplots(3, 1, sharex=True)
+    chart = figure.Figure(figsize=(11, 6.5), layout="constrained")
+    above, middle, below = chart.subplots(3, 1, sharex=True)
     outcome = played.outcome
     start_ms = outcome.started_ms
     bins = int(
@@ -69,16 +69,18 @@
                    color="#335")
     middle.set_yscale("log")
     middle.set_ylabel("first event, ms")
-    names = sorted({name for _, counts in outcome.standing for name in counts})
+    names = sorted(
+        {name for _, counts in outcome.open_groups for name in counts})
     for name in names:
-        below.step([(at_ms - start_ms) / 1000 for at_ms, _ in outcome.standing],
-                   [counts.get(name, 0) for _, counts in outcome.standing],
-                   label=name)
+        below.step(
+            [(at_ms - start_ms) / 1000 for at_ms, _ in outcome.open_groups],
+            [counts.get(name, 0) for _, counts in outcome.open_groups],
+            label=name)
     below.set_ylabel("groups standing")
     below.set_xlabel("seconds")
     if names:
         below.legend(loc="lower right", fontsize="small")
     text = io.StringIO()
-    drawn.savefig(text, format="svg")
+    chart.savefig(text, format="svg")
     svg = text.getvalue()
     return svg[svg.index("<svg"):]
--- a/cardamommill/experiment/troubles.py
+++ b/cardamommill/experiment/troubles.py
@@ -20,7 +20,7 @@
 from cardamommill.platform import wirenames
 
 # The longest that the operator takes to write again after a restore.
-OPERATOR_RETURNS_S = 1.8
+MAX_REPUBLISH_DELAY_S = 1.8
 
 
 class Machine(Protocol):
@@ -32,15 +32,15 @@
     node: Any
 
 
-class Stage(Protocol):
+class SimulatedRun(Protocol):
     """The run that troubles happen to; see `world.World`."""
 
     deployment: deployments.Deployment
     loop: virtualloop.VirtualLoop
-    chance: random.Random
+    rng: random.Random
     fleet: modelfleet.Fleet
     store: modelstore.ModelStore
-    judge: oracle.Oracle
+    run_oracle: oracle.Oracle
     clients: dict[str, modelclients.Clients]
     keys: list[tuple[str, str]]
     version: int
@@ -63,43 +63,44 @@
 class Troubles:
     """Carries out the troubles of one run; a method for each kind."""
 
-    def __init__(self, world: Stage) -> None:
+    def __init__(self, world: SimulatedRun) -> None:
         self._world = world
 
-    async def happen(self, trouble: deployments.Trouble) -> None:
+    async def inject(self, trouble: deployments.Trouble) -> None:
         """Lets a trouble happen when its time has come."""
         await asyncio.sleep(trouble.at_s)
-        act = getattr(self, f"_{trouble.kind}")
-        await act(trouble)
+        handler = getattr(self, f"_{trouble.kind}")
+        await handler(trouble)
 
     def _place(self, trouble: deployments.Trouble) -> str:
-        return trouble.place or self._world.chance.choice(
-            list(self._world.clients))
+        return trouble.place or self._world.rng.choice(list(
+            self._world.clients))
 
-    def _joined(self,
-                trouble: deployments.Trouble) -> list[modelfleet.ListedRunner]:
+    def _draw_members(
+            self,
+            trouble: deployments.Trouble) -> list[modelfleet.ListedRunner]:
         place = self._place(trouble)
         found = [
             each for each in self._world.fleet.runners.values()
-            if each.place == place and each.membership and not each.dark and
-            not each.leaving
+            if each.place == place and each.membership and
+            not each.is_unreachable and not each.leaving
         ]
-        self._world.chance.shuffle(found)
+        self._world.rng.shuffle(found)
         return found[:trouble.count]
 
     async def _runners_dark(self, trouble: deployments.Trouble) -> None:
-        for runner in self._joined(trouble):
-            self._world.loop.network.host(runner.host).dark = True
+        for runner in self._draw_members(trouble):
+            self._world.loop.network.host(runner.host).is_unreachable = True
             if not trouble.for_s:
                 runner.end()
             else:
                 self._world.spawn("troubles",
-                                  self._lighten(runner, trouble.for_s))
+                                  self._reconnect_later(runner, trouble.for_s))
 
-    async def _lighten(self, runner: modelfleet.ListedRunner,
-                       for_s: float) -> None:
+    async def _reconnect_later(self, runner: modelfleet.ListedRunner,
+                               for_s: float) -> None:
         await asyncio.sleep(for_s)
-        self._world.loop.network.host(runner.host).dark = False
+        self._world.loop.network.host(runner.host).is_unreachable = False
 
     async def _domain_dark(self, trouble: deployments.Trouble) -> None:
         place = self._place(trouble)
@@ -108,15 +109,15 @@
             for each in self._world.fleet.runners.values()
             if each.place == place and each.domain
         })
-        domain = self._world.chance.choice(domains)
+        domain = self._world.rng.choice(domains)
         for runner in self._world.fleet.runners.values():
             if runner.domain == domain and not runner.ended:
-                self._world.loop.network.host(runner.host).dark = True
+                self._world.loop.network.host(runner.host).is_unreachable = True
                 self._world.spawn("troubles",
-                                  self._lighten(runner, trouble.for_s))
+                                  self._reconnect_later(runner, trouble.for_s))
 
     async def _runners_crash(self, trouble: deployments.Trouble) -> None:
-        for runner in self._joined(trouble):
+        for runner in self._draw_members(trouble):
             runner.end()
             self._world.loop.network.end_processes(runner.host)
 
@@ -130,16 +131,16 @@
 
     async def _fail_heads(self, trouble: deployments.Trouble,
                           fault: modelfleet.Fault) -> None:
-        await self._change(trouble, self._heads(trouble.count), "fault", fault,
-                           modelfleet.Fault.NONE)
+        await self._change(trouble, self._draw_heads(trouble.count), "fault",
+                           fault, modelfleet.Fault.NONE)
 
     async def _heads_limited(self, trouble: deployments.Trouble) -> None:
         """Has heads name a rate limit, the factor, in requests a second."""
-        await self._limit(trouble, self._heads(trouble.count))
+        await self._limit(trouble, self._draw_heads(trouble.count))
 
     async def _plain_limited(self, trouble: deployments.Trouble) -> None:
         """Has plain runners name one."""
-        await self._limit(trouble, self._plain(trouble.count))
+        await self._limit(trouble, self._draw_plain_runners(trouble.count))
 
     async def _limit(self, trouble: deployments.Trouble,
                      runners: list[modelfleet.ListedRunner]) -> None:
@@ -148,11 +149,11 @@
 
     async def _heads_rest(self, trouble: deployments.Trouble) -> None:
         """Has heads turn all away and ask for a rest, the factor, in s."""
-        await self._rest(trouble, self._heads(trouble.count))
+        await self._rest(trouble, self._draw_heads(trouble.count))
 
     async def _plain_rest(self, trouble: deployments.Trouble) -> None:
         """Has plain runners ask for one."""
-        await self._rest(trouble, self._plain(trouble.count))
+        await self._rest(trouble, self._draw_plain_runners(trouble.count))
 
     async def _rest(self, trouble: deployments.Trouble,
                     runners: list[modelfleet.ListedRunner]) -> None:
@@ -160,48 +161,48 @@
 
     async def _change(self, trouble: deployments.Trouble,
                       runners: list[modelfleet.ListedRunner], field: str,
-                      value: Any, well: Any) -> None:
+                      value: Any, normal: Any) -> None:
         """Gives runners a fault for as long as the trouble lasts."""
         for runner in runners:
             setattr(runner, field, value)
         await asyncio.sleep(trouble.for_s or math.inf)
         for runner in runners:
-            setattr(runner, field, well)
+            setattr(runner, field, normal)
 
-    def _plain(self, count: int) -> list[modelfleet.ListedRunner]:
+    def _draw_plain_runners(self, count: int) -> list[modelfleet.ListedRunner]:
         plain = [
             each for each in self._world.fleet.runners.values()
             if each.engine is None
         ]
-        return self._world.chance.sample(plain, min(count, len(plain)))
+        return self._world.rng.sample(plain, min(count, len(plain)))
 
-    def _heads(self, count: int) -> list[modelfleet.ListedRunner]:
+    def _draw_heads(self, count: int) -> list[modelfleet.ListedRunner]:
         """Draws heads of open groups.
 
         Of each model as many, so that the others of each have room for all.
         """
         heads = [
             each for each in self._world.fleet.runners.values()
-            if each.membership and not each.membership.rank and not each.dark
+            if each.membership and not each.membership.rank and
+            not each.is_unreachable
         ]
-        self._world.chance.shuffle(heads)
-        nth: dict[str, int] = collections.Counter()
-        turns = []
+        self._world.rng.shuffle(heads)
+        counts: dict[str, int] = collections.Counter()
+        ranked = []
         for head in heads:
-            turns.append((nth[head.served], head.served, head))
-            nth[head.served] += 1
-        turns.sort(key=lambda each: each[:2])
-        return [head for _, _, head in turns[:count]]
+            ranked.append((counts[head.served], head.served, head))
+            counts[head.served] += 1
+        ranked.sort(key=lambda each: each[:2])
+        return [head for _, _, head in ranked[:count]]
 
     async def _new_runners(self, trouble: deployments.Trouble) -> None:
         place = self._place(trouble)
         for _ in range(trouble.count):
-            domain = self._world.chance.randrange(
-                self._world.deployment.domains)
+            domain = self._world.rng.randrange(self._world.deployment.domains)
             self._world.add_runner(place, f"{place}-d{domain}", "engine")
 
     async def _runners_slow(self, trouble: deployments.Trouble) -> None:
-        slow = self._joined(trouble)
+        slow = self._draw_members(trouble)
         for runner in slow:
             runner.pace = trouble.factor
         await asyncio.sleep(trouble.for_s)
@@ -210,27 +211,27 @@
 
     async def _heads_leave(self, trouble: deployments.Trouble) -> None:
         """Has heads leave that can't report so, and serve on for a while."""
-        leaving = self._heads(trouble.count)
+        leaving = self._draw_heads(trouble.count)
         for runner in leaving:
             runner.store_cut = runner.leaving = True
         await asyncio.sleep(trouble.for_s)
-        self._end_for_good(leaving)
+        self._remove_runners(leaving)
 
-    def _end_for_good(self, leaving: list[modelfleet.ListedRunner]) -> None:
+    def _remove_runners(self, leaving: list[modelfleet.ListedRunner]) -> None:
         for runner in leaving:
             runner.end()
             self._world.store.drop(wirenames.SERVERS_TABLE, runner.id)
             self._world.loop.network.end_processes(runner.host)
 
     async def _runners_drain(self, trouble: deployments.Trouble) -> None:
-        leaving = self._joined(trouble)
+        leaving = self._draw_members(trouble)
         for runner in leaving:
             runner.drain()
         await asyncio.sleep(4.0)
-        self._end_for_good(leaving)
+        self._remove_runners(leaving)
 
     async def _runners_cut(self, trouble: deployments.Trouble) -> None:
-        cut = self._joined(trouble)
+        cut = self._draw_members(trouble)
         for runner in cut:
             runner.store_cut = True
         await asyncio.sleep(trouble.for_s)
@@ -240,10 +241,10 @@
     async def _late_orders(self, trouble: deployments.Trouble) -> None:
         runners = [
             each for each in self._world.fleet.runners.values()
-            if self._world.chance.random() < trouble.factor
+            if self._world.rng.random() < trouble.factor
         ]
         for runner in runners:
-            runner.late_orders_ms = self._world.chance.uniform(2000, 12_000)
+            runner.late_orders_ms = self._world.rng.uniform(2000, 12_000)
         await asyncio.sleep(trouble.for_s)
         for runner in runners:
             runner.late_orders_ms = 0.0
@@ -254,8 +255,8 @@
             for each in self._world.machines.values()
             if each.node and (not trouble.place or each.place == trouble.place)
         ]
-        for name in self._world.chance.sample(names,
-                                              min(trouble.count, len(names))):
+        for name in self._world.rng.sample(names, min(trouble.count,
+                                                      len(names))):
             self._world.spawn("troubles",
                               self._world.kill_node(name, trouble.for_s))
 
@@ -265,7 +266,7 @@
                               self._world.kill_node(name, trouble.for_s))
 
     async def _node_stop(self, trouble: deployments.Trouble) -> None:
-        name = self._world.chance.choice(sorted(self._world.machines))
+        name = self._world.rng.choice(sorted(self._world.machines))
         self._world.loop.signal_host(self._world.machines[name].host,
                                      signal.SIGTERM)
 
@@ -273,7 +274,7 @@
         place = self._place(trouble)
         network = self._world.loop.network
         for machine in self._world.machines.values():
-            self._world.judge.machine_cut(machine.host)
+            self._world.run_oracle.record_partition(machine.host)
         inside = [
             name for name, host in network.hosts.items() if host.place == place
         ]
@@ -290,11 +291,11 @@
 
     async def _fail_store(self, fault: str, for_s: float) -> None:
         self._world.store.fault = fault
-        self._world.judge.counts_loads = False
+        self._world.run_oracle.counts_loads = False
         await asyncio.sleep(for_s)
         self._world.store.fault = ""
         await asyncio.sleep(3.0)
-        self._world.judge.counts_loads = True
+        self._world.run_oracle.counts_loads = True
 
     async def _store_silent(self, trouble: deployments.Trouble) -> None:
         await self._fail_store("silent", trouble.for_s)
@@ -314,18 +315,18 @@
         write again with their next heartbeat, the operator some time later.
         """
         store = self._world.store
-        self._world.judge.counts_loads = False
+        self._world.run_oracle.counts_loads = False
         store.fault = "silent"
         await asyncio.sleep(trouble.for_s)
         store.restore(trouble.factor * 1000)
         store.fault = ""
-        await asyncio.sleep(self._world.chance.uniform(0.1, OPERATOR_RETURNS_S))
+        await asyncio.sleep(self._world.rng.uniform(0.1, MAX_REPUBLISH_DELAY_S))
         store.put(
             wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY,
             self._world.deployment.configuration(self._world.version,
                                                  self._world.keys))
         await asyncio.sleep(3.0)
-        self._world.judge.counts_loads = True
+        self._world.run_oracle.counts_loads = True
 
     async def _store_cut(self, trouble: deployments.Trouble) -> None:
         """Cuts nodes off from the store alone, over all data centres."""
@@ -344,7 +345,7 @@
         self._publish()
 
     def _publish(self) -> None:
-        self._world.version += self._world.chance.randint(1, 3)
+        self._world.version += self._world.rng.randint(1, 3)
         self._world.store.put(
             wirenames.OPERATOR_TABLE, wirenames.CONFIGURATION_KEY,
             self._world.deployment.configuration(self._world.version,
@@ -353,9 +354,9 @@
     async def _revoke(self, trouble: deployments.Trouble) -> None:
         for _ in range(min(trouble.count, len(self._world.keys) - 1)):
             gone = self._world.keys.pop(
-                self._world.chance.randrange(len(self._world.keys)))
+                self._world.rng.randrange(len(self._world.keys)))
             self._publish()
-            self._world.judge.revoked_ms[gone[1]] = clock.now_ms()
+            self._world.run_oracle.revoked_ms[gone[1]] = clock.now_ms()
 
     async def _plain_cut(self, trouble: deployments.Trouble) -> None:
         del trouble
--- a/cardamommill/experiment/virtualnetwork.py
+++ b/cardamommill/experiment/virtualnetwork.py
@@ -12,7 +12,7 @@
 Address = tuple[str, int]
 
 # Timers of one moment run in no certain order, packets do.
-NEXT_S = 1e-9
+MIN_PACKET_GAP_S = 1e-9
 
 # Whose code is running: connections begin at this host.
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host",
@@ -25,19 +25,19 @@
 
     Attributes:
         place: Its data centre.
-        dark: Whether it neither sends nor receives.
-        life: Counts its restarts; what an earlier life sent is lost.
+        is_unreachable: Whether it neither sends nor receives.
+        incarnation: Counts its restarts; what an earlier life sent is lost.
     """
 
     place: str = ""
-    dark: bool = False
-    life: int = 0
+    is_unreachable: bool = False
+    incarnation: int = 0
 
 
 class Network:
     """Links between hosts, with delays and cuts."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self.hosts: dict[str, Host] = {}
         self.listeners: dict[Address, Callable[[], asyncio.Protocol]] = {}
         self.datagrams: dict[Address, asyncio.DatagramProtocol] = {}
@@ -46,7 +46,7 @@
         self.between_places_ms = 1.4
         self.loss = 0.0
         self._cut: set[frozenset[str]] = set()
-        self._chance = chance
+        self._rng = rng
 
     def host(self, name: str) -> Host:
         """Returns a host, new with its first use."""
@@ -62,7 +62,7 @@
 
     def reaches(self, source: str, target: str) -> bool:
         """Whether what one host sends arrives at another."""
-        if self.host(source).dark or self.host(target).dark:
+        if self.host(source).is_unreachable or self.host(target).is_unreachable:
             return False
         return frozenset((source, target)) not in self._cut
 
@@ -70,11 +70,11 @@
         """Returns how long a packet takes."""
         same = self.host(source).place == self.host(target).place
         base_ms = self.in_place_ms if same else self.between_places_ms
-        return base_ms * self._chance.uniform(1.0, 1.1) / units.MS_PER_S
+        return base_ms * self._rng.uniform(1.0, 1.1) / units.MS_PER_S
 
     def lost(self) -> bool:
         """Whether a datagram is lost."""
-        return self._chance.random() < self.loss
+        return self._rng.random() < self.loss
 
     def reset_connections(self, name: str) -> None:
         """Resets all connections of a host, which listens on."""
@@ -86,7 +86,7 @@
     def end_processes(self, name: str) -> None:
         """Ends all that a host has open; peers see resets unless it is dark."""
         host = self.host(name)
-        host.life += 1
+        host.incarnation += 1
         for address in [each for each in self.listeners if each[0] == name]:
             del self.listeners[address]
         for address in [each for each in self.datagrams if each[0] == name]:
@@ -94,7 +94,7 @@
         for transport in [
                 each for each in self.transports if each.host == name
         ]:
-            transport.vanish(reset=not host.dark)
+            transport.drop_connection(reset=not host.is_unreachable)
 
 
 class FakeTransport(asyncio.Transport):
@@ -112,7 +112,7 @@
         self._peer: FakeTransport | None = None
         self._closing = False
         self._paused = False
-        self._held: list[bytes] = []
+        self._receive_buffer: list[bytes] = []
         self._last_s = 0.0
         network.transports[self] = None
 
@@ -148,14 +148,14 @@
     def resume_reading(self) -> None:
         """See asyncio."""
         self._paused = False
-        held, self._held = self._held, []
+        held, self._receive_buffer = self._receive_buffer, []
         for data in held:
             self._loop.call_soon(self._receive, data)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Sends; see asyncio."""
         if not self._closing and data:
-            self._pass(self._deliver, bytes(data))
+            self._schedule_delivery(self._deliver, bytes(data))
 
     def close(self) -> None:
         """Ends after what was sent; see asyncio."""
@@ -165,10 +165,11 @@
         """Ends at once; see asyncio."""
         self._end(ConnectionResetError("reset by peer"))
 
-    def vanish(self, reset: bool) -> None:
+    def drop_connection(self, reset: bool) -> None:
         """Its process is gone: the peer hears of it, or never does."""
         if reset:
-            self._pass(self._lose_peer, ConnectionResetError("reset by peer"))
+            self._schedule_delivery(self._notify_peer_closed,
+                                    ConnectionResetError("reset by peer"))
         self._closing = True
         self._network.transports.pop(self, None)
 
@@ -177,15 +178,15 @@
             return
         self._closing = True
         self._network.transports.pop(self, None)
-        self._pass(self._lose_peer, error)
+        self._schedule_delivery(self._notify_peer_closed, error)
         self._loop.call_soon(self._protocol.connection_lost, None)
 
-    def _pass(self, act: Callable[[Any], None], what: Any) -> None:
+    def _schedule_delivery(self, act: Callable[[Any], None], what: Any) -> None:
         # In order: a later packet never overtakes an earlier one.
         at_s = max(
             self._loop.time() +
             self._network.delay_s(self.host, self._peer_host),
-            self._last_s + NEXT_S)
+            self._last_s + MIN_PACKET_GAP_S)
         self._last_s = at_s
         self._loop.call_at(at_s, self._arrive, act, what)
 
@@ -203,7 +204,7 @@
         if self._closing:
             return
         if self._paused:
-            self._held.append(data)
+            self._receive_buffer.append(data)
             return
         self._receive(data)
 
@@ -217,11 +218,11 @@
         finally:
             HOST.reset(token)
 
-    def _lose_peer(self, error: Exception | None) -> None:
+    def _notify_peer_closed(self, error: Exception | None) -> None:
         if self._peer is not None:
-            self._peer.lose(error)
+            self._peer.on_peer_closed(error)
 
-    def lose(self, error: Exception | None) -> None:
+    def on_peer_closed(self, error: Exception | None) -> None:
         """Hears that the other end is gone."""
         if self._closing:
             return
--- a/cardamommill/experiment/world.py
+++ b/cardamommill/experiment/world.py
@@ -35,7 +35,7 @@
 PEER_PORT = 7340
 RESTART_S = 0.5
 # A runner's entry lapses after three heartbeats of silence.
-LAPSE_MS = 3 * modelfleet.HEARTBEAT_MS
+ENTRY_EXPIRY_MS = 3 * modelfleet.HEARTBEAT_MS
 
 
 @dataclasses.dataclass(slots=True)
@@ -47,7 +47,7 @@
     place: str
     node: entrynode.EntryNode | None = None
     task: asyncio.Task[None] | None = None
-    misses: int = 2
+    failed_probes: int = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,13 +55,13 @@
     """What a run gave.
 
     Attributes:
-        standing: Pairs of the time and open groups by model.
+        open_groups: Pairs of the time and open groups by model.
     """
 
     name: str
     results: list[modelclients.Result]
     violations: list[oracle.Violation]
-    standing: list[tuple[float, dict[str, int]]]
+    open_groups: list[tuple[float, dict[str, int]]]
     store_calls: int
     started_ms: float
 
@@ -100,10 +100,11 @@
                  loop: virtualloop.VirtualLoop) -> None:
         self.deployment = deployment
         self.loop = loop
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self._seed = seed
         self.store = modelstore.ModelStore()
-        self.judge = oracle.Oracle(oracle.Limits(deployment.engine.loads_per_s))
+        self.run_oracle = oracle.Oracle(
+            oracle.Limits(deployment.engine.loads_per_s))
         self.keys = [(f"tenant{number % deployment.tenants}", f"key{number}")
                      for number in range(2 * deployment.tenants)]
         self.all_keys = list(self.keys)
@@ -114,10 +115,10 @@
             for name, service in first.services.items()
             if service.engine is not None
         }
-        self.fleet = modelfleet.Fleet(self.store, self.judge, engines, {})
+        self.fleet = modelfleet.Fleet(self.store, self.run_oracle, engines, {})
         self.machines: dict[str, Machine] = {}
         self.clients: dict[str, modelclients.Clients] = {}
-        self.standing: list[tuple[float, dict[str, int]]] = []
+        self.open_groups: list[tuple[float, dict[str, int]]] = []
         self._count = 0
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -137,18 +138,21 @@
         engine = self.fleet.engines.get(service)
         return engine.stride if engine else 1
 
-    def node_for(self, place: str,
-                 chance: random.Random) -> upstream.Address | None:
+    def choose_node(self, place: str,
+                    rng: random.Random) -> upstream.Address | None:
         """Returns where the balancer sends a new connection."""
         local = [each for each in self.machines.values() if each.place == place]
-        ready = [each for each in local if each.misses < 2]
+        ready = [each for each in local if each.failed_probes < 2]
         if 2 * len(ready) < len(local):
             ready = local
-        if not any(each.misses < 2 for each in local):
-            ready = [each for each in self.machines.values() if each.misses < 2]
+        if not any(each.failed_probes < 2 for each in local):
+            ready = [
+                each for each in self.machines.values()
+                if each.failed_probes < 2
+            ]
         if not ready:
             return None
-        return chance.choice(ready).host, FRONT_PORT
+        return rng.choice(ready).host, FRONT_PORT
 
     # Beginning.
 
@@ -161,7 +165,7 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Starts the store, all runners and all nodes."""
         network = self.loop.network
         self.spawn(modelstore.ADDRESS[0], self.store.listen())
@@ -180,8 +184,8 @@
                 self.add_runner(place, "", "plain")
         for name in self.machines:
             self.start_node(name)
-        self.spawn("balancer", self._balance())
-        self.spawn("store", self._lapse())
+        self.spawn("balancer", self._run_balancer())
+        self.spawn("store", self._expire_entries())
 
     def add_runner(self, place: str, domain: str,
                    service: str) -> modelrunner.ModelRunner:
@@ -229,7 +233,7 @@
     async def kill_node(self, name: str, for_s: float) -> None:
         """Ends a node's process at once, and starts another later."""
         machine = self.machines[name]
-        self.judge.machine_restarted(machine.host)
+        self.run_oracle.record_restart(machine.host)
         if machine.task is not None:
             machine.task.cancel()
         self.loop.network.end_processes(machine.host)
@@ -237,37 +241,39 @@
         await asyncio.sleep(max(RESTART_S, for_s))
         self.start_node(name)
 
-    async def _balance(self) -> None:
+    async def _run_balancer(self) -> None:
         pool = upstream.Pool()
         while True:
             for machine in self.machines.values():
-                self.spawn("balancer", self._ask_ready(pool, machine))
+                self.spawn("balancer", self._probe_readiness(pool, machine))
             await asyncio.sleep(1.0)
 
-    async def _ask_ready(self, pool: upstream.Pool, machine: Machine) -> None:
+    async def _probe_readiness(self, pool: upstream.Pool,
+                               machine: Machine) -> None:
         answer = await fetching.fetch(
             pool, (machine.host, READY_PORT),
             fetching.request_bytes("GET", wirenames.READY_PATH,
                                    [("Host", machine.host)]), 900.0, True)
-        machine.misses = 0 if answer.head.status == 200 else machine.misses + 1
+        machine.failed_probes = (0 if answer.head.status == 200 else
+                                 machine.failed_probes + 1)
 
-    async def _lapse(self) -> None:
+    async def _expire_entries(self) -> None:
         while True:
             await asyncio.sleep(0.2)
-            self.standing.append((clock.now_ms(), self._count_open()))
+            self.open_groups.append((clock.now_ms(), self._count_open_groups()))
             if self.store.fault:
                 continue
             for runner in self.fleet.runners.values():
-                if clock.now_ms() - runner.beat_ms > LAPSE_MS:
+                if clock.now_ms() - runner.last_heartbeat_ms > ENTRY_EXPIRY_MS:
                     self.store.drop(wirenames.SERVERS_TABLE, runner.id)
 
-    def _count_open(self) -> dict[str, int]:
+    def _count_open_groups(self) -> dict[str, int]:
         counts: dict[str, int] = {}
         for runner in self.fleet.runners.values():
             place = runner.membership
-            if (place is not None and not place.rank and not runner.dark and
-                    place.state.value == "open"):
-                whole = all(not self.fleet.runners[each].dark
+            if (place is not None and not place.rank and
+                    not runner.is_unreachable and place.state.value == "open"):
+                whole = all(not self.fleet.runners[each].is_unreachable
                             for each in runner.members)
                 if whole:
                     counts[runner.served] = counts.get(runner.served, 0) + 1
@@ -277,38 +283,40 @@
 
     async def play(self) -> Outcome:
         """Plays the whole run."""
-        await self.begin()
+        await self.start()
         await asyncio.sleep(self.deployment.lead_s)
         started_ms = clock.now_ms()
         until_ms = started_ms + self.deployment.length_s * 1000
         for place in self.deployment.places:
             host = f"clients-{place}"
             self.loop.network.host(host).place = place
-            self.clients[place] = modelclients.Clients(self, place, self.judge,
+            self.clients[place] = modelclients.Clients(self, place,
+                                                       self.run_oracle,
                                                        self._seed)
             for spec in self.deployment.kinds:
                 self.spawn(
                     host,
                     self.clients[place].send_all(self.deployment.kind(spec),
                                                  until_ms))
-        troubled = troubles.Troubles(self)
+        injector = troubles.Troubles(self)
         for trouble in self.deployment.troubles:
-            self.spawn("troubles", troubled.happen(trouble))
+            self.spawn("troubles", injector.inject(trouble))
         longest_ms = max(each.deadline_ms for each in self.deployment.kinds)
         await asyncio.sleep(self.deployment.length_s + longest_ms / 1000)
         return Outcome(self.deployment.name, [
             result for each in self.clients.values() for result in each.results
-        ], self.judge.violations, self.standing, self.store.calls, started_ms)
+        ], self.run_oracle.violations, self.open_groups, self.store.calls,
+                       started_ms)
 
 
 def play(deployment: deployments.Deployment,
          seed: int | None = None) -> Outcome:
     """Plays a deployment in simulated time and returns what came of it."""
-    drawn = deployment.seed if seed is None else seed
-    with logbook.NullHandler(), virtualloop.running(drawn) as loop:
+    run_seed = deployment.seed if seed is None else seed
+    with logbook.NullHandler(), virtualloop.running(run_seed) as loop:
         asyncio.set_event_loop(loop)
         try:
-            world = World(deployment, drawn, loop)
+            world = World(deployment, run_seed, loop)
             task = loop.create_task(world.play())
             outcome: Outcome = loop.run_until_complete(task)
             return outcome
--- a/tests/experiment/test_limited_runners.py
+++ b/tests/experiment/test_limited_runners.py
@@ -14,7 +14,7 @@
                               prompt_tokens=700,
                               answer_tokens=220),)
 # What the other groups bear while one of four takes nothing.
-BEARABLE = (KINDS[0].model_copy(update={"per_s": 26}),)
+REDUCED_KINDS = (KINDS[0].model_copy(update={"per_s": 26}),)
 
 PLAIN_PER_S = {"record": 20, "status": 10}
 PLAIN = tuple(
@@ -58,7 +58,7 @@
                                       factor=3.0,
                                       for_s=8.0),
                    places=places,
-                   kinds=BEARABLE,
+                   kinds=REDUCED_KINDS,
                    seed=seed)
     assert not outcome.violations
     assert test_sharing.served(outcome, FROM_S, 12.0) > 0.99
@@ -85,6 +85,6 @@
     outcome = play(test_world.trouble("heads_leave", FROM_S, count=2,
                                       for_s=7.0),
                    places=places,
-                   kinds=BEARABLE,
+                   kinds=REDUCED_KINDS,
                    seed=seed)
     assert not outcome.violations
--- a/tests/experiment/test_modelclients.py
+++ b/tests/experiment/test_modelclients.py
@@ -37,8 +37,8 @@
 
     all_keys = (("t", "k"),)
 
-    def node_for(self, place, chance):
-        del place, chance
+    def choose_node(self, place, rng):
+        del place, rng
         return ADDRESS
 
     def stride(self, service):
@@ -48,7 +48,7 @@
 
 def broken_rules(behind_events):
     """Returns the rules that are broken if these bytes follow two events."""
-    judge = oracle.Oracle(oracle.Limits(1.0))
+    run_oracle = oracle.Oracle(oracle.Limits(1.0))
 
     def handler(request, reply):
         reply.start(200,
@@ -64,14 +64,14 @@
 
     async def main():
         await server.listen(*ADDRESS)
-        clients = modelclients.Clients(World(), "a", judge, seed=1)
+        clients = modelclients.Clients(World(), "a", run_oracle, seed=1)
         await clients.send_all(KIND, clock.now_ms() + 500)
         await asyncio.sleep(1)
 
     with virtualloop.running(1) as loop:
         loop.run_until_complete(main())
-    assert judge.sent
-    return {each.rule for each in judge.violations}
+    assert run_oracle.sent
+    return {each.rule for each in run_oracle.violations}
 
 
 @pytest.mark.parametrize("behind_events,rules", [
--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -12,7 +12,7 @@
 from tests.experiment import test_world
 
 # A datagram with its headers, without loads.
-LIGHT_BYTES = 200
+DATAGRAM_OVERHEAD_BYTES = 200
 
 
 def play(nodes=12, length_s=4.0):
@@ -70,13 +70,13 @@
 
     def far_bytes_per_s(nodes):
         sent = []
-        tell = nodelink.NodeLink._send
+        send = nodelink.NodeLink._send
 
         def counted(self, told, now_ms):
-            tell(self, told, now_ms)
+            send(self, told, now_ms)
             started.append(now_ms)
             if now_ms - started[0] > 6000:
-                sent.extend(LIGHT_BYTES for peer, _ in told
+                sent.extend(DATAGRAM_OVERHEAD_BYTES for peer, _ in told
                             if not peer.is_near and self._peers.update_scope(
                                 peer) is not peers.UpdateScope.REPORTER)
 
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -160,7 +160,7 @@
     assert all(at_ms < outcome.started_ms for at_ms in whole)
 
 
-def lags_ms(monkeypatch, *happening):
+def lags_ms(monkeypatch, *faults):
     """Returns how long after its writing nodes took each configuration."""
     written_ms, found = {}, []
     publish = troubles.Troubles._publish
@@ -181,7 +181,7 @@
     monkeypatch.setattr(troubles.Troubles, "_publish", noted)
     monkeypatch.setattr(platformreader.PlatformReader, "_apply_configuration",
                         timed)
-    outcome = play(*happening, nodes=8, length_s=10.0)
+    outcome = play(*faults, nodes=8, length_s=10.0)
     assert not outcome.violations
     return found
 
@@ -212,7 +212,7 @@
     assert max(found) < entrysettings.Bounds().config_apply_ms / 2
 
 
-def ahead_readings(monkeypatch):
+def record_newer_reads(monkeypatch):
     """Returns which nodes ask for a newer configuration, as they do."""
     asked = []
     read_newer_from_peer = tablereader.TableReader.read_newer_from_peer
@@ -228,7 +228,7 @@
 
 def test_followers_get_what_their_readers_asked_others_for(monkeypatch):
     """Asked for by each node of a data centre, it would come as often."""
-    asked = ahead_readings(monkeypatch)
+    asked = record_newer_reads(monkeypatch)
     found = lags_ms(monkeypatch, {
         "kind": "store_cut",
         "at_s": 2.5,
@@ -244,7 +244,7 @@
 
 def test_nodes_do_not_ask_each_other_while_their_sources_tell(monkeypatch):
     """Each heartbeat may tell of a configuration some ms before the source."""
-    asked = ahead_readings(monkeypatch)
+    asked = record_newer_reads(monkeypatch)
     found = lags_ms(
         monkeypatch,
         *({
@@ -265,8 +265,8 @@
         drain(runner)
         left_ms[runner.id] = clock.now_ms()
 
-    def timed(self, news):
-        take(self, news)
+    def timed(self, update):
+        take(self, update)
         if self._list_reader._selector._node in ("node-a-1", "node-a-2"):
             return
         for known in self._view.known.values():
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -180,7 +180,7 @@
 # In ten of twenty-four seeds the survivors make a slow group and new runners a
 # quick one: which runners die shifts with all that a node does.
 SLOW_GROUP_SEEDS = (1, 5, 7, 8, 10, 11, 12, 14, 15, 21, 23, 24)
-LEAST_CLOSED = 3
+MIN_CLOSED = 3
 
 
 def test_slow_groups_are_given_up_without_breaking_a_rule(monkeypatch):
@@ -190,13 +190,13 @@
     get their whole answers, and no runner is in two groups meanwhile.
     """
     closed = []
-    close = modelorders.Orders._close
+    close = modelorders.OrderExecutor._close
 
     def noted(orders, order):
         closed.append(order["group"])
         return close(orders, order)
 
-    monkeypatch.setattr(modelorders.Orders, "_close", noted)
+    monkeypatch.setattr(modelorders.OrderExecutor, "_close", noted)
     deaths = [
         trouble("runners_dark", at_s=1.0 + 0.8 * number, count=2, place="a")
         for number in range(5)
@@ -208,7 +208,7 @@
                        length_s=10.0)
         assert not outcome.violations, seed
         assert outcome.share("in-aim") > 0.9, seed
-    assert len(closed) >= LEAST_CLOSED
+    assert len(closed) >= MIN_CLOSED
 
 
 def test_stopping_node_takes_nothing_that_it_can_not_finish():
@@ -224,40 +224,40 @@
                                         kinds=KINDS)
     status = {}
 
-    async def script(playing):
-        await playing.begin()
+    async def script(simulation):
+        await simulation.start()
         await asyncio.sleep(9)
-        playing.spawn("clients-a", ask(playing, "long", 700, status))
+        simulation.spawn("clients-a", ask(simulation, "long", 700, status))
         await asyncio.sleep(0.5)
-        machine = playing.machines["node-a-1"]
-        playing.loop.signal_host(machine.host, signal.SIGTERM)
+        machine = simulation.machines["node-a-1"]
+        simulation.loop.signal_host(machine.host, signal.SIGTERM)
         await asyncio.sleep(1.0)
-        await ask(playing, "early", 7, status)
+        await ask(simulation, "early", 7, status)
         await asyncio.sleep(2.0)
-        await ask(playing, "late", 7, status)
+        await ask(simulation, "late", 7, status)
         await asyncio.sleep(4.0)
 
-    async def ask(playing, name, tokens, status):
+    async def ask(simulation, name, tokens, status):
         request = fetching.request_bytes(
             "POST", f"/draft/{name}",
             [("Host", "model.example"), (wirenames.ATTEMPT_ID, name),
              (wirenames.DEADLINE_MS, "8000"), (wirenames.MODEL, "large"),
              (wirenames.TOKEN_COUNTS, f"100,{tokens}"),
              ("Authorization", "Bearer key0")], b"x")
-        playing.judge.client_sends(
+        simulation.run_oracle.record_send(
             name,
             oracle.Sent(0, "POST", f"/draft/{name}", b"x", "key0", "tenant0",
                         "engine", True))
         with upstream.Pool() as pool:
             answer = await fetching.fetch(
-                pool, (playing.machines["node-a-1"].host, world.FRONT_PORT),
+                pool, (simulation.machines["node-a-1"].host, world.FRONT_PORT),
                 request, 8000)
         status[name] = (answer.head.status, answer.ending)
 
     with virtualloop.running(1) as loop:
-        playing = world.World(deployment, 1, loop)
-        loop.run_until_complete(script(playing))
-        assert not playing.judge.violations
+        simulation = world.World(deployment, 1, loop)
+        loop.run_until_complete(script(simulation))
+        assert not simulation.run_oracle.violations
     assert status["long"] == (200, upstream.Ending.COMPLETE)
     assert status["early"] == (200, upstream.Ending.COMPLETE)
     assert status["late"][0] == 503
@@ -276,7 +276,7 @@
 
 
 def _play_lost_revocation(monkeypatch):
-    monkeypatch.setattr(troubles, "OPERATOR_RETURNS_S", 60.0)
+    monkeypatch.setattr(troubles, "MAX_REPUBLISH_DELAY_S", 60.0)
     return play(trouble("revoke", 1.9, count=6),
                 trouble("store_restored", 2.0, for_s=0.3, factor=2),
                 trouble("node_kill", 2.6, place="a"),
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -96,7 +96,7 @@
     async def create_reset(*args, **options):
         transport, protocol = await create(*args, **options)
         if is_handled:
-            transport.lose(ConnectionResetError("reset by peer"))
+            transport.on_peer_closed(ConnectionResetError("reset by peer"))
         else:
             transport.abort()
         return transport, protocol
--- a/tests/mixes.py
+++ b/tests/mixes.py
@@ -79,7 +79,7 @@
 }
 
 # What runners may ask of their callers, and how much of it.
-ADVICE = {
+FLOW_CONTROL = {
     "heads_limited": (0.5, 4.0),
     "heads_rest": (0.5, 4.0),
     "heads_leave": (1.0, 1.0),
@@ -90,41 +90,45 @@
 
 def draw(seed: int) -> list[dict[str, object]]:
     """Returns the troubles of a seed."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     drawn = []
-    for _ in range(chance.randint(2, 4)):
-        kind = chance.choice(sorted(KINDS))
-        at_s = round(chance.uniform(0.5, 5.0), 2)
+    for _ in range(rng.randint(2, 4)):
+        kind = rng.choice(sorted(KINDS))
+        at_s = round(rng.uniform(0.5, 5.0), 2)
         drawn.append(test_world.trouble(kind, at_s=at_s, **KINDS[kind]))
     return drawn
 
 
-def draw_restore(seed: int) -> list[dict[str, object]]:
+def draw_with_restore(seed: int) -> list[dict[str, object]]:
     """Returns the troubles of a seed, and a restore of the store among them."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     return draw(seed) + [
         test_world.trouble("store_restored",
-                           at_s=round(chance.uniform(1.0, 4.0), 2),
-                           for_s=round(chance.uniform(0.0, 2.0), 2),
-                           factor=round(chance.uniform(0.0, 6.0), 2))
+                           at_s=round(rng.uniform(1.0, 4.0), 2),
+                           for_s=round(rng.uniform(0.0, 2.0), 2),
+                           factor=round(rng.uniform(0.0, 6.0), 2))
     ]
 
 
-def draw_advice(seed: int) -> list[dict[str, object]]:
+def draw_with_flow_control(seed: int) -> list[dict[str, object]]:
     """Returns the troubles of a seed, and runners that ask for less."""
-    chance = random.Random(seed)
-    asked = chance.sample(sorted(ADVICE), 2)
+    rng = random.Random(seed)
+    asked = rng.sample(sorted(FLOW_CONTROL), 2)
     return draw(seed) + [
         test_world.trouble(kind,
-                           at_s=round(chance.uniform(0.5, 4.0), 2),
-                           count=chance.randint(1, 2),
-                           for_s=round(chance.uniform(1.0, 6.0), 2),
-                           factor=round(chance.uniform(*ADVICE[kind]), 2))
+                           at_s=round(rng.uniform(0.5, 4.0), 2),
+                           count=rng.randint(1, 2),
+                           for_s=round(rng.uniform(1.0, 6.0), 2),
+                           factor=round(rng.uniform(*FLOW_CONTROL[kind]), 2))
         for kind in asked
     ]
 
 
-MIXES = {"": draw, "restored": draw_restore, "advice": draw_advice}
+MIXES = {
+    "": draw,
+    "restored": draw_with_restore,
+    "advice": draw_with_flow_control
+}
 
 
 def play(seed: int, kind: str = "") -> world.Outcome:
