--- a/cardamommill/experiment/comparing.py
+++ b/cardamommill/experiment/comparing.py
@@ -1,4 +1,4 @@
-"""Plays experiments, with constants of decisions changed to compare them."""
+"""Runs experiments and compares them under variants of decision constants."""
 
 from collections.abc import Iterator
 import contextlib
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Played:
-    """One run and under what it was played."""
+    """The outcome of one run, with its variant and seed."""
 
     variant: str
     seed: int
@@ -24,7 +24,7 @@
     length_s: float
 
     def row(self) -> tuple[str, ...]:
-        """Returns its line of the table."""
+        """Returns the run's cells in the order of `COLUMNS`."""
         outcome = self.outcome
         return (outcome.name, self.variant, str(self.seed),
                 str(len(outcome.results)), f"{outcome.earned:.3f}",
@@ -37,7 +37,7 @@
 
 def play_all(deployment: deployments.Deployment,
              seeds: int) -> Iterator[Played]:
-    """Plays each variant with each seed, as they are asked for."""
+    """Yields a run for each variant and seed; each is run when requested."""
     variants = {"as it is": {}, **deployment.variants}
     for name, changes in variants.items():
         for seed in range(deployment.seed, deployment.seed + seeds):
@@ -49,13 +49,13 @@
 
 @contextlib.contextmanager
 def override_constants(constants: dict[str, float]) -> Iterator[None]:
-    """Changes named constants of decision modules for a while.
+    """Overrides constants of decision modules within a `with` block.
 
     Args:
-        constants: Such as ``placing.PATIENT_PART`` with a figure.
+        constants: New values by name, such as ``placing.PATIENT_PART``.
 
     Raises:
-        CommandError: There is no such constant.
+        CommandError: A named constant does not exist.
     """
     before: list[tuple[Any, str, Any]] = []
     try:
@@ -77,13 +77,13 @@
         module = None
     if module is None or not name.isupper() or not hasattr(module, name):
         raise exceptions.CommandError(
-            f"no constant {path}; such as placing.PATIENT_PART",
+            f"no constant {path}; expected a name such as placing.PATIENT_PART",
             step="experiment")
     return module, name
 
 
 def table(rows: list[tuple[str, ...]]) -> str:
-    """Returns rows under their columns."""
+    """Formats rows as a text table with column headings."""
     all_rows = [COLUMNS, *rows]
     widths = [max(map(len, column)) for column in zip(*all_rows, strict=True)]
     return "\n".join("  ".join(
--- a/cardamommill/experiment/deployments.py
+++ b/cardamommill/experiment/deployments.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: a deployment, a load, troubles; from YAML."""
+"""Experiment files: the YAML schema of a deployment, its load and faults."""
 
 import pathlib
 from typing import Annotated, Any, Literal
@@ -10,7 +10,7 @@
 
 
 class ModelSpec(checking.Checked):
-    """A model that runs in groups; see `gateway.model.ServedModel`."""
+    """A model served by groups of runners; see `gateway.model.ServedModel`."""
 
     name: str
     size: Annotated[int, pydantic.Field(ge=1)]
@@ -21,7 +21,7 @@
 
 
 class EngineSpec(checking.Checked):
-    """The engine's arithmetic, with figures of today's runners."""
+    """Performance figures of the simulated inference engine."""
 
     slots: int = 13
     stride: int = 7
@@ -38,7 +38,7 @@
 
 
 class KindSpec(checking.Checked):
-    """A kind of request; see `modelclients.Kind`."""
+    """A kind of request and its rate; see `modelclients.Kind`."""
 
     name: str
     per_s: Annotated[float, pydantic.Field(gt=0)]
@@ -54,15 +54,15 @@
 
 
 class Trouble(checking.Checked):
-    """Something that happens to the model.
+    """A fault or other event that is injected into a run.
 
     Attributes:
-        at_s: From the start of traffic.
-        kind: What.
-        place: Where; drawn if empty.
-        count: How many.
-        for_s: How long; 0 for good.
-        factor: How strong.
+        at_s: Seconds from the start of traffic.
+        kind: The kind of event; `troubles.Troubles` has a method for each.
+        place: The data centre affected; chosen at random if empty.
+        count: How many runners, nodes or keys are affected.
+        for_s: Duration in seconds; for some kinds 0 means until the end.
+        factor: Magnitude; its meaning depends on the kind.
     """
 
     at_s: float
@@ -81,15 +81,15 @@
 
 
 class Deployment(checking.Checked):
-    """One experiment's world.
+    """The simulated deployment, load and faults of one experiment.
 
     Attributes:
         places: Entry VMs per data centre.
-        domains: Fabric domains a data centre.
-        runners: Runners a domain.
-        plain_runners: Runners of the plain service a data centre.
-        variants: Constants of decision modules that differ, by the name of
-            the variant, such as ``placing.PATIENT_PART``.
+        domains: Fabric domains per data centre.
+        runners: Runners per fabric domain.
+        plain_runners: Runners of the plain service per data centre.
+        variants: By variant name, the values that override constants of
+            decision modules, such as ``placing.PATIENT_PART``.
     """
 
     name: str
@@ -108,7 +108,7 @@
     variants: dict[str, dict[str, float]] = {}
 
     def kind(self, spec: KindSpec) -> modelclients.Kind:
-        """Returns a kind of request for the clients."""
+        """Converts a request specification to the form that clients use."""
         streaming = spec.type == "streaming"
         return modelclients.Kind(
             name=spec.name,
@@ -130,7 +130,7 @@
 
     def configuration(self, version: int,
                       keys: list[tuple[str, str]]) -> dict[str, Any]:
-        """Returns the operator's configuration as the platform keeps it."""
+        """Returns the operator's configuration as the platform stores it."""
         engine = self.engine
         tenants: dict[str, list[str]] = {}
         for name, key in keys:
@@ -208,7 +208,7 @@
 
 
 def load(path: pathlib.Path) -> Deployment:
-    """Returns the experiment in a file.
+    """Loads an experiment from a YAML file.
 
     Raises:
         SettingsError: Lists every fault in the file.
--- a/cardamommill/experiment/modelclients.py
+++ b/cardamommill/experiment/modelclients.py
@@ -1,4 +1,4 @@
-"""Clients of the model: they send, check every byte, and come back."""
+"""Simulated clients that send requests, verify answers and retry."""
 
 import asyncio
 import dataclasses
@@ -10,13 +10,13 @@
 from cardamommill.platform import wirenames
 
 CONNECT_TIMEOUT_MS = 1000.0
-# Clients leave after this much silence.
+# Lower bound of the time without an event after which a client gives up.
 MIN_GAP_TIMEOUT_MS = 2000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request; see the deployment's file, which gives all figures."""
+    """A kind of request, with the figures of the experiment's file."""
 
     name: str
     host: str
@@ -38,10 +38,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """How a request ended for its client.
+    """The outcome of a request as its client saw it.
 
     Attributes:
         outcome: in-aim, late, refused, failed or denied.
+        worth: The credit that was earned.
+        owed: The credit of an answer that meets its latency goals.
     """
 
     kind: str
@@ -56,7 +58,7 @@
 
 
 class _Receiver:
-    """Takes an answer's bytes and checks them against the right ones."""
+    """Receives an answer and verifies its bytes against the expected ones."""
 
     def __init__(self, kind: Kind, target: str, run_oracle: oracle.Oracle,
                  attempt: str) -> None:
@@ -79,7 +81,8 @@
         self.head = head
         self.status = head.status
         if head.status == 200 and head.get(wirenames.RESPONSE_SEAL) is None:
-            self._run_oracle.broken("MIXED", f"{self._attempt}: 200 unsealed")
+            self._run_oracle.broken(
+                "MIXED", f"{self._attempt}: status 200 without a seal")
         return True
 
     def on_body(self, data: bytes) -> None:
@@ -94,8 +97,8 @@
             if event.data != rightanswers.event_bytes(self._target,
                                                       self.next_id):
                 self._run_oracle.broken(
-                    "ORDER", f"{self._attempt}: {event.data[:20]!r} in "
-                    f"place of {self.next_id}")
+                    "ORDER", f"{self._attempt}: got {event.data[:20]!r} "
+                    f"instead of event {self.next_id}")
             if self.first_ms:
                 self.longest_gap_ms = max(self.longest_gap_ms,
                                           now_ms - self.last_ms)
@@ -106,8 +109,8 @@
 
     def on_end(self, ending: upstream.Ending, reason: str) -> None:
         if ending is upstream.Ending.NOT_HTTP:
-            # Counted as a failure only, a whole answer within a stream passed
-            # for a runner that broke off.
+            # A violation, not just a failure: a complete answer within a
+            # stream would otherwise be taken for a runner that broke off.
             self._run_oracle.broken("MIXED", f"{self._attempt}: {reason}")
         if not self.done.done():
             self.done.set_result(ending.value if ending is
@@ -115,17 +118,17 @@
 
 
 class Clients:
-    """All clients of one data centre."""
+    """Generates the requests of all clients of one data centre."""
 
     def __init__(self, world: Any, place: str, run_oracle: oracle.Oracle,
                  seed: int) -> None:
-        """Makes them.
+        """Creates the clients.
 
         Args:
-            world: Gives `choose_node(place)`, `all_keys` and `stride`.
-            place: Their data centre.
-            run_oracle: Who is told what was sent and received.
-            seed: For all chance.
+            world: Provides `choose_node`, `all_keys`, `model_name`, `stride`.
+            place: The clients' data centre.
+            run_oracle: Records what is sent and received.
+            seed: Seeds the random number generator.
         """
         self._world = world
         self._place = place
@@ -137,7 +140,7 @@
         self.results: list[Result] = []
 
     async def send_all(self, kind: Kind, until_ms: float) -> None:
-        """Sends requests of a kind at random times until then."""
+        """Sends requests of a kind as a Poisson process until `until_ms`."""
         loop = asyncio.get_running_loop()
         while clock.now_ms() < until_ms:
             rate = max(1e-9, kind.per_s * self.factor)
@@ -154,7 +157,7 @@
         prompt = min(prompt, int(4 * kind.prompt_tokens) or 8)
         answer = max(1, int(self._rng.expovariate(1) * kind.answer_tokens))
         answer = min(answer, int(3 * kind.answer_tokens) or 1)
-        # Some go on with a key that was taken away; they are owed nothing.
+        # Some clients keep using a revoked key; their results do not count.
         tenant, key = self._rng.choice(self._world.all_keys)
         owed = kind.worth
         result = Result(kind.name,
@@ -180,7 +183,7 @@
     async def _attempt(self, kind: Kind, target: str, prompt: int, answer: int,
                        tenant: str, key: str, began_ms: float, left_ms: float,
                        attempt: str, result: Result) -> float | None:
-        """Tries once; returns in how many ms to try again, or None."""
+        """Makes one attempt; returns the delay before a retry, or None."""
         body = b"" if kind.method == "GET" else b"x" * 200
         headers = [("Host", kind.host), (wirenames.ATTEMPT_ID, attempt),
                    (wirenames.DEADLINE_MS, str(int(left_ms))),
@@ -237,7 +240,7 @@
             unsent = not exchange.sent and now_ms - last_ms > CONNECT_TIMEOUT_MS
             if now_ms >= end_ms or stalled or unsent:
                 exchange.cancel()
-                return "gave up"
+                return "client timeout"
             await asyncio.sleep(0.02)
         return receiver.done.result()
 
@@ -247,6 +250,8 @@
             stride = self._world.stride(kind.service)
             if receiver.next_id - 1 != -(-answer // stride):
                 self._run_oracle.broken(
-                    "ORDER", f"{attempt}: ended after {receiver.next_id - 1}")
+                    "ORDER",
+                    f"{attempt}: ended after event {receiver.next_id - 1}")
         elif bytes(receiver.body) != rightanswers.plain_body(target):
-            self._run_oracle.broken("MIXED", f"{attempt}: another body")
+            self._run_oracle.broken(
+                "MIXED", f"{attempt}: body differs from the expected one")
--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -1,4 +1,4 @@
-"""Runners of the model as the platform lists them, and what they share."""
+"""State of simulated runners: registration, reports and answer headers."""
 
 import asyncio
 import dataclasses
@@ -18,23 +18,23 @@
 
 PORT = 8140
 HEARTBEAT_MS = 1200.0
-# Reports that are kept, for answers that lag behind.
+# Past reports kept per runner, so that answers can lag behind its state.
 REPORTS_KEPT = 20
 
 
 class Fault(enum.Enum):
-    """How a runner fails each request at once, while it looks well."""
+    """How a runner fails every request at once while it reports good health."""
 
     NONE = "none"
-    # By an answer of its own.
+    # Answers with status 500.
     ERROR = "error"
-    # By ending the connection without one.
+    # Closes the connection without an answer.
     RESET = "reset"
 
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """What all runners of a run share."""
+    """State shared by all runners of a run."""
 
     store: modelstore.ModelStore
     oracle: oracle.Oracle
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A request at a head."""
+    """A request that a runner is working on or has queued."""
 
     request: callers.CallerRequest
     reply: replies.Reply
@@ -59,22 +59,25 @@
     gone: bool = False
 
     def caller_left(self) -> None:
-        """The node closed its connection."""
+        """Handles the node closing the connection."""
         self.gone = True
 
 
 class ListedRunner:
-    """What one life of a runner is and holds, and what it tells of it.
+    """A runner process: its state and what it reports of it.
 
     Attributes:
-        pace: How many times as long everything takes.
-        fault: How it fails all that it is sent.
-        rest_s: If not 0, it turns all away and asks for so long a rest.
-        limit_per_s: The rate limit that it names, if it has one.
-        late_orders_ms: If not 0, orders get no answer and are carried out late.
-        begun: Its count of orders.
-        last_heartbeat_ms: When the platform heard of it last.
-        jobs: The requests that it has.
+        pace: Slowdown; the factor by which all work takes longer.
+        fault: How it fails every request.
+        rest_s: If not 0, it refuses all requests with this `Retry-After`.
+        limit_per_s: The rate limit that it advertises, if it has one.
+        late_orders_ms: If not 0, orders are not answered and are carried out
+            after this delay.
+        begun: Its order count.
+        last_heartbeat_ms: When the platform last received its heartbeat.
+        jobs: Its running and queued requests.
+        reregistered_ms: When it last registered with a store that had been
+            restored and may have lost that it leaves.
     """
 
     def __init__(self, fleet: Fleet, runner_id: str, host: str, place: str,
@@ -105,70 +108,67 @@
         self.jobs: list[Job] = []
         self._last_row = b""
         self._last_era = fleet.store.era
-        # When it told that it leaves, to a store that had lost it.
         self.reregistered_ms = -math.inf
         self._reports: list[tuple[float, dict[str, Any]]] = []
         fleet.runners[runner_id] = self
 
     @property
     def engine(self) -> model.Engine | None:
-        """The arithmetic of its service, where it works in groups."""
+        """The engine's figures, or None for a service without groups."""
         return self.fleet.engines.get(self.service)
 
     @property
     def network(self) -> virtualnetwork.Network:
-        """The network that it is in."""
+        """The simulated network."""
         loop = asyncio.get_running_loop()
         assert isinstance(loop, virtualloop.VirtualLoop)
         return loop.network
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether it neither hears nor speaks."""
+        """Whether it has ended or can neither send nor receive."""
         return self.ended or self.network.host(self.host).is_unreachable
 
     @property
     def running(self) -> int:
-        """How many of its requests run."""
+        """The number of requests being executed."""
         return sum(each.running for each in self.jobs)
 
     def is_in(self, key: model.GroupKey) -> bool:
-        """Whether it is a member of a group."""
+        """Returns whether it is a member of a group."""
         return self.membership is not None and self.membership.key == key
 
     def end(self) -> None:
-        """Ends for good; its entry lapses by itself."""
+        """Ends the runner; its entry expires without heartbeats."""
         self.ended = True
 
     def acknowledged_leaving_ms(self) -> float:
-        """Returns for how long the store has held that it leaves."""
+        """Returns for how long the store has known that it is leaving."""
         if self.fleet.store.fault or self._last_era != self.fleet.store.era:
             return 0.0
         return clock.now_ms() - max(self.leaving_ms, self.reregistered_ms)
 
     def drain(self) -> None:
-        """Tells that it will leave."""
+        """Starts to drain, and registers the change."""
         self.leaving = True
         self.leaving_ms = clock.now_ms()
         self.send_heartbeat()
 
     def set_state(self, state: model.MemberState) -> None:
-        """Changes its state in its group, and tells so."""
+        """Changes its state within its group, and registers the change."""
         assert self.membership is not None
         self.membership = dataclasses.replace(self.membership, state=state)
         self.send_heartbeat()
 
-    # What it tells.
-
     def send_heartbeat(self) -> None:
-        """Tells what it is; after a change at once."""
+        """Sends a heartbeat; called periodically and after each change."""
         entry = self._entry()
         self._reports.append((clock.now_ms(), self._report(entry)))
         del self._reports[:-REPORTS_KEPT]
         if self.is_unreachable or self.store_cut or self.fleet.store.fault:
             return
         self.last_heartbeat_ms = clock.now_ms()
-        # The platform's rows change when more than the heartbeat does.
+        # A row is written only if more than the heartbeat number changed.
         told = json.dumps(entry | {"seq": 0}).encode()
         store = self.fleet.store
         if (told != self._last_row or store.era != self._last_era or
@@ -180,7 +180,7 @@
             self.fleet.store.put(wirenames.SERVERS_TABLE, self.id, entry)
 
     def report(self) -> dict[str, Any]:
-        """Returns what it answers when asked: what was true a lag ago."""
+        """Returns its report, which lags its state by `report_lag_ms`."""
         engine = self.engine
         lag_ms = engine.report_lag_ms if engine else 0.0
         told = self._report(self._entry())
@@ -191,7 +191,7 @@
         return told
 
     def shed(self, job: Job) -> None:
-        """Answers that a request did not run here."""
+        """Refuses a request with an answer that says that it did not run."""
         rest = []
         if self.rest_s:
             self.fleet.oracle.record_rest_request(job.attempt, self.id,
@@ -203,7 +203,7 @@
                              *self._flow_control_headers(job)], b"")
 
     def _flow_control_headers(self, job: Job) -> list[tuple[str, str]]:
-        """Returns what all its answers ask of its callers."""
+        """Returns the flow control headers that every answer carries."""
         run_oracle = self.fleet.oracle
         run_oracle.record_rate_limit(job.attempt, self.id, self.limit_per_s)
         told = []
@@ -215,7 +215,7 @@
         return told
 
     def answer_headers(self, job: Job) -> list[tuple[str, str]]:
-        """Returns the head fields of an answer."""
+        """Returns the headers of an answer."""
         running = self.running
         return [(wirenames.ATTEMPT_ID, job.attempt),
                 (wirenames.RESPONSE_SEAL, f"{self.id}.{job.attempt}"),
@@ -232,7 +232,7 @@
             "slots": self.slots,
             "state": "draining" if self.leaving else "ready",
             "coldLeftMs": 0,
-            # Heartbeats, unlike the field of this name in a report.
+            # The heartbeat number; in a report, `seq` is the order count.
             "seq": int(clock.now_ms() // HEARTBEAT_MS),
         }
         if self.engine is None:
--- a/cardamommill/experiment/modelorders.py
+++ b/cardamommill/experiment/modelorders.py
@@ -1,4 +1,4 @@
-"""How a runner of the model carries out orders."""
+"""Executes orders at a simulated runner."""
 
 import asyncio
 from typing import Any
@@ -7,12 +7,12 @@
 from cardamommill.gateway import clock, model
 
 REJOIN_MS = 200.0
-# Before the first request loads take this part of their time.
+# Loads before the first request take this fraction of the normal time.
 PRELOAD_TIME_RATIO = 0.1
 
 
 class OrderExecutor:
-    """Carries out the orders of one runner; a method for each operation."""
+    """Executes the orders of one runner, with a method per operation."""
 
     def __init__(self, runner: modelfleet.ListedRunner,
                  passes: modelpasses.ForwardPasses) -> None:
@@ -22,7 +22,7 @@
         self._stages: dict[str, float] = {}
 
     def execute(self, order: dict[str, Any]) -> int:
-        """Begins what an order asks; returns the answer's status."""
+        """Starts to execute an order; returns the status of the answer."""
         if self._runner.is_unreachable:
             return 503
         expected = order.get("expected")
@@ -78,7 +78,8 @@
             if (place is not None and place.key == key and not place.rank and
                     serves and not other.ended):
                 fleet.oracle.broken(
-                    "TWO", f"{self._runner.id} joined while {key} was open")
+                    "TWO",
+                    f"{self._runner.id} joined elsewhere while {key} was open")
 
     async def _become_ready(self, key: model.GroupKey, members: tuple[str, ...],
                             served: model.ServedModel) -> None:
@@ -119,7 +120,7 @@
         self._runner.send_heartbeat()
 
     def _state_as_head(self, key: model.GroupKey) -> model.MemberState | None:
-        """Returns its state in a group whose head it is."""
+        """Returns its state in a group, or None if it is not its head."""
         place = self._runner.membership
         if place is None or place.key != key or place.rank:
             return None
--- a/cardamommill/experiment/modelpasses.py
+++ b/cardamommill/experiment/modelpasses.py
@@ -1,4 +1,4 @@
-"""The passes of a group's engine at its head: what each takes and gives."""
+"""Simulates the forward passes of a group's engine at the group's head."""
 
 import asyncio
 import math
@@ -7,20 +7,21 @@
 from cardamommill.gateway import model
 from cardamommill.platform import wirenames
 
-# A head whose member is gone notices after this.
+# Time until a head detects that a member is gone.
 STALL_MS = 4000.0
+# Queued requests per slot beyond which a head refuses requests.
 QUEUE_RATIO = 2
 
 
 class ForwardPasses:
-    """Reads prompts and makes events for the requests of one runner."""
+    """Processes prompts and generates events for the requests of a head."""
 
     def __init__(self, runner: modelfleet.ListedRunner) -> None:
         self._runner = runner
         self._is_running = False
 
     def take(self, job: modelfleet.Job) -> modelfleet.Job | None:
-        """Takes a request, or answers that it did not run."""
+        """Queues a request, or refuses it with an answer of not run."""
         runner = self._runner
         engine = runner.engine
         membership = runner.membership
@@ -52,7 +53,7 @@
         return job
 
     def cut(self) -> None:
-        """Drops all requests; those that wait hear that they did not run."""
+        """Drops all requests; queued ones are answered as not run."""
         jobs, self._runner.jobs = self._runner.jobs, []
         for job in jobs:
             if job.gone:
@@ -119,7 +120,7 @@
 
     def _slowdown(self, engine: model.Engine,
                   served: model.ServedModel) -> float:
-        """Returns how many times as long this group takes for everything."""
+        """Returns the factor by which passes of this group take longer."""
         runners = self._runner.fleet.runners
         members = [runners[each] for each in self._runner.members]
         domains = {each.domain for each in members}
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -1,4 +1,4 @@
-"""A runner of the model: takes requests and orders, and answers them."""
+"""A simulated runner that serves requests, orders and reports."""
 
 import asyncio
 import json
@@ -13,12 +13,12 @@
 from cardamommill.gateway import callers, replies
 from cardamommill.platform import wirenames
 
-# A plain runner takes this many times its slots.
+# A plain runner accepts this many requests per slot, queued ones included.
 PLAIN_CAPACITY_RATIO = 4
 
 
 class ModelRunner(modelfleet.ListedRunner):
-    """One life of a runner."""
+    """A runner process, from its registration until it ends."""
 
     def __init__(self,
                  fleet: modelfleet.Fleet,
@@ -36,7 +36,7 @@
         self._server = callers.CallerServer(self._on_request, lambda _: None)
 
     async def live(self) -> None:
-        """Registers and answers until it ends."""
+        """Listens and sends heartbeats until the runner ends."""
         self.network.host(self.host).place = self.place
         await self._server.listen(self.host, modelfleet.PORT)
         while not self.ended:
--- a/cardamommill/experiment/modelstore.py
+++ b/cardamommill/experiment/modelstore.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows with versions, conditions, a feed and faults."""
+"""A simulated platform store with versions, conditions, a feed and faults."""
 
 import asyncio
 import base64
@@ -17,31 +17,31 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreRow:
-    """A row; its value is None once it is dropped."""
+    """A row and its version; the value of a deleted row is None."""
 
     value: bytes | None
     version: int
 
 
 class ModelStore:
-    """Keeps rows in memory and answers the platform's calls."""
+    """Keeps rows in memory and serves the calls of the platform's API."""
 
     def __init__(self) -> None:
         self.tables: dict[str, dict[str, StoreRow]] = {}
         self.version = 0
         self.history_from = 0
         self.era = 1
-        # All that was written, for restores: when, where and what.
+        # Every write, for restores: time, table, key and row.
         self._written: list[tuple[float, str, str, StoreRow]] = []
         self.calls = 0
-        # How it fails: "", "silent", "busy" or "reset".
+        # How calls fail: "", "silent", "busy" or "reset".
         self.fault: str = ""
         self.slow_factor = 1.0
         self._changed = asyncio.Event()
         self._server = callers.CallerServer(self._on_request, lambda _: None)
 
     async def listen(self) -> None:
-        """Begins to answer."""
+        """Starts to accept connections."""
         await self._server.listen(*ADDRESS)
 
     def put(self, table: str, key: str, value: dict[str, Any]) -> None:
@@ -57,21 +57,21 @@
         self._changed = asyncio.Event()
 
     def drop(self, table: str, key: str) -> None:
-        """Drops a row."""
+        """Deletes a row if it exists."""
         if self.get(table, key) is not None:
             self._put(table, key, None)
 
     def get(self, table: str, key: str) -> bytes | None:
-        """Returns a row's value."""
+        """Returns a row's value, or None if there is no such row."""
         row = self.tables.get(table, {}).get(key)
         return row.value if row is not None else None
 
     def compact(self) -> None:
-        """Forgets the history."""
+        """Compacts the history; feeds from earlier versions get status 410."""
         self.history_from = self.version + 1
 
     def restore(self, loss_ms: float) -> None:
-        """Comes back from a backup: what was written since is gone."""
+        """Restores a backup, losing the writes of the last `loss_ms`."""
         as_of_ms = clock.now_ms() - loss_ms
         self._written = [each for each in self._written if each[0] <= as_of_ms]
         self.tables = {}
@@ -112,7 +112,7 @@
             return
         status, body = await call(query, request.body)
         if self._is_silent():
-            # Also for calls that came before it fell silent.
+            # Calls in flight when the store went silent get no answer either.
             return
         reply.send(status, [("Content-Type", "application/json"),
                             self._era_header()],
--- a/cardamommill/experiment/oracle.py
+++ b/cardamommill/experiment/oracle.py
@@ -1,4 +1,4 @@
-"""Judges a run by what clients, runners and the operator have seen."""
+"""Test oracle: checks rules on what clients, runners and operator observe."""
 
 import collections
 import dataclasses
@@ -7,14 +7,14 @@
 
 LOAD_WINDOW_MS = 5000.0
 REPEAT_WINDOW_MS = 10_000.0
-# A runner with a rate limit gets at most this much more than it allows, plus
-# some requests, in a window.
+# Within a window, a runner with a rate limit may receive RATE_OVERAGE times as
+# many requests as it allows, plus RATE_EXTRA.
 RATE_WINDOW_MS = 4000.0
 RATE_OVERAGE = 1.5
 RATE_EXTRA = 5
-# A machine that has read an answer heeds it after this.
+# Time that a machine has to act on an answer that it received.
 REACTION_MS = 500.0
-# A runner that asked a machine for rest gets at most this many more from it.
+# Requests that a machine may still send to a runner within a rest period.
 REST_EXTRA = 2
 
 
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """A client attempt as its client knows it."""
+    """A client's attempt as it was sent."""
 
     at_ms: float
     method: str
@@ -44,13 +44,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RateLimit:
-    """A limit that a runner names.
+    """A rate limit that a runner advertises.
 
     Attributes:
-        per_s: Requests a second from all machines.
-        since_ms: When it was first named.
-        informed_ms: When each machine was first told.
-        arrivals_ms: When requests of machines that were told came.
+        per_s: Requests per second from all machines together.
+        since_ms: When it was first advertised.
+        informed_ms: When each machine first received it.
+        arrivals_ms: Arrival times of requests from informed machines.
     """
 
     per_s: float
@@ -61,11 +61,11 @@
 
 @dataclasses.dataclass(slots=True)
 class RestPeriod:
-    """A time in which a runner wants nothing from a machine.
+    """A period during which a runner asked a machine to send no requests.
 
     Attributes:
-        arrived: Requests that came all the same, later than the machine could
-            have been on its way with them.
+        arrived: Requests that came nevertheless, those excluded that may have
+            been in flight when the period was announced.
     """
 
     from_ms: float
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Figures of the rules."""
+    """Thresholds of the rules."""
 
     loads_per_s: float
     load_overage: float = 1.1
@@ -88,7 +88,7 @@
 
 
 class Oracle:
-    """Holds what was told to whom, and what ran where."""
+    """Records who was informed of what and what ran where; checks rules."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -110,28 +110,29 @@
                           list[RestPeriod]] = collections.defaultdict(list)
         # By runner and machine.
         self._leaving_informed_ms: dict[tuple[str, str], float] = {}
-        # Loads count only while the platform's store is well.
+        # Loads are checked only while the platform's store is available.
         self.counts_loads = True
 
     def broken(self, rule: str, text: str) -> None:
-        """Notes a broken rule."""
+        """Records a rule violation."""
         self.violations.append(Violation(rule, text, clock.now_ms()))
 
     def record_send(self, attempt: str, sent: Sent) -> None:
-        """Notes a client attempt."""
+        """Records an attempt that a client sends."""
         self.sent[attempt] = sent
         self._first_sends_ms[sent.service].append(sent.at_ms)
 
     def record_arrival(self, attempt: str, service: str, runner: str,
                        tenant: str, method: str, target: str,
                        body: bytes) -> None:
-        """Notes a request at a runner."""
+        """Records a request that reaches a runner, and checks it."""
         sent = self.sent.get(attempt)
         if sent is None:
-            self.broken("UNASKED", f"{attempt} at {runner}: nobody sent it")
+            self.broken("UNASKED", f"{attempt} at {runner}: no client sent it")
             return
         if (method, target, body) != (sent.method, sent.target, sent.body):
-            self.broken("UNASKED", f"{attempt} at {runner}: changed on its way")
+            self.broken("UNASKED",
+                        f"{attempt} at {runner}: modified in transit")
         if tenant != sent.tenant:
             self.broken("UNASKED", f"{attempt} at {runner}: tenant {tenant!r}")
         if service != sent.service:
@@ -154,11 +155,11 @@
             for shift in (0.0, REPEAT_WINDOW_MS / 2, REPEAT_WINDOW_MS))
         limits = self._limits
         if repeats > limits.retry_ratio * firsts + limits.retry_slack:
-            self.broken("BUDGET", f"{service}: {repeats} repeats")
+            self.broken("BUDGET", f"{service}: {repeats} repeated requests")
 
     def record_rate_limit(self, attempt: str, runner: str,
                           per_s: float | None) -> None:
-        """Notes what a runner's answer says of its rate limit."""
+        """Records the rate limit in a runner's answer; None if it has none."""
         if per_s is None:
             self._rate_limits.pop(runner, None)
             return
@@ -170,7 +171,7 @@
             limit.informed_ms.setdefault(sent.machine, now_ms)
 
     def record_leaving(self, attempt: str, runner: str) -> None:
-        """Notes an answer that says that its runner leaves."""
+        """Records an answer that says that its runner is leaving."""
         machine = self.sent[attempt].machine
         self._leaving_informed_ms.setdefault((runner, machine), clock.now_ms())
 
@@ -180,11 +181,11 @@
         if (informed_ms is not None and
                 sent.at_ms > informed_ms + self._limits.drain_ms):
             self.broken(
-                "DRAIN", f"{attempt} at {runner}, which had told "
+                "DRAIN", f"{attempt} at {runner}, which had informed "
                 f"{sent.machine} that it leaves")
 
     def record_restart(self, machine: str) -> None:
-        """Notes a restart of a machine, which forgets what it read."""
+        """Records a restart of a machine, which loses what it had received."""
         self.record_partition(machine)
         for told in [
                 each for each in self._leaving_informed_ms if machine in each
@@ -192,7 +193,7 @@
             del self._leaving_informed_ms[told]
 
     def record_partition(self, machine: str) -> None:
-        """Notes a cut of a machine, which excuses what others don't tell it."""
+        """Records a partition; the machine need not know what it missed."""
         for limit in self._rate_limits.values():
             limit.informed_ms.pop(machine, None)
         for (_, resting), rests in self._rests.items():
@@ -201,7 +202,7 @@
 
     def record_rest_request(self, attempt: str, runner: str,
                             rest_ms: float) -> None:
-        """Notes a refusal that says how long its runner wants nothing."""
+        """Records a refusal that asks for no requests for `rest_ms`."""
         now_ms = clock.now_ms()
         machine = self.sent[attempt].machine
         self._rests[(runner, machine)].append(
@@ -216,7 +217,7 @@
             if rest.arrived > REST_EXTRA:
                 self.broken(
                     "BUDGET", f"{runner} asked {machine} for rest: "
-                    f"{rest.arrived} requests")
+                    f"got {rest.arrived} requests")
 
     def _check_rate(self, machine: str, runner: str) -> None:
         limit = self._rate_limits.get(runner)
@@ -231,10 +232,11 @@
                    RATE_EXTRA)
         if (recent > allowed and
                 now_ms - limit.since_ms > self._limits.contact_ms):
-            self.broken("LIMIT", f"{runner}: {recent} requests in a window")
+            self.broken("LIMIT",
+                        f"{runner}: {recent} requests in a rate window")
 
     def record_execution(self, attempt: str, runner: str) -> None:
-        """Notes that a runner begins to work on a request."""
+        """Records that a runner starts to execute a request."""
         sent = self.sent.get(attempt)
         runs = self.runs[attempt]
         runs.append(runner)
@@ -243,8 +245,9 @@
         if not sent.repeatable and len(runs) > 1:
             self.broken("TWICE", f"{attempt} at {', '.join(runs)}")
         if attempt in self.refused and not sent.repeatable:
-            self.broken("REFUSED",
-                        f"{attempt} ran after {self.refused[attempt]}")
+            self.broken(
+                "REFUSED", f"{attempt} ran after its client got status "
+                f"{self.refused[attempt]}")
         revoked_ms = self.revoked_ms.get(sent.key)
         if (revoked_ms is not None and
                 sent.at_ms > revoked_ms + self._limits.revoke_ms):
@@ -252,25 +255,27 @@
 
     def check_group(self, attempt: str, key: model.GroupKey,
                     members: tuple[str, ...], size: int) -> None:
-        """Checks the group in which a request begins to run."""
+        """Checks the group in which a request starts to run."""
         if len(members) != size:
-            self.broken("PARTIAL", f"{attempt} in {key} of {len(members)}")
+            self.broken("PARTIAL",
+                        f"{attempt} in {key} with {len(members)} members")
         never_ready = set(members) - self.ready[(key, members)]
         if never_ready:
             self.broken("PARTIAL",
                         f"{attempt} in {key}: {never_ready} was never ready")
 
     def record_final_status(self, attempt: str, status: int) -> None:
-        """Notes a final answer."""
+        """Records the status of the answer that a client received."""
         if status not in (408, 421, 429, 503):
             return
         self.refused[attempt] = status
         sent = self.sent[attempt]
         if not sent.repeatable and self.runs.get(attempt):
-            self.broken("REFUSED", f"{attempt} had run and got {status}")
+            self.broken("REFUSED",
+                        f"{attempt} had run but its client got {status}")
 
     def record_load(self) -> None:
-        """Notes a load from the weight store."""
+        """Records the start of a load from the weight store."""
         if not self.counts_loads:
             return
         now_ms = clock.now_ms()
@@ -281,4 +286,4 @@
             limits.loads_per_s * LOAD_WINDOW_MS / 1000 * limits.load_overage +
             limits.load_extra)
         if recent > allowed:
-            self.broken("CEILING", f"{recent} loads in a window")
+            self.broken("CEILING", f"{recent} loads in a load window")
--- a/cardamommill/experiment/page.py
+++ b/cardamommill/experiment/page.py
@@ -1,4 +1,4 @@
-"""One static page with plots of experiments."""
+"""Writes a static HTML page with plots of experiments."""
 
 import html
 import io
@@ -21,7 +21,7 @@
 
 
 def write(path: pathlib.Path, played: list[comparing.Played]) -> None:
-    """Writes the page.
+    """Writes the page with a table and plots of all runs.
 
     Args:
         path: The file.
@@ -76,7 +76,7 @@
             [(at_ms - start_ms) / 1000 for at_ms, _ in outcome.open_groups],
             [counts.get(name, 0) for _, counts in outcome.open_groups],
             label=name)
-    below.set_ylabel("groups standing")
+    below.set_ylabel("open groups")
     below.set_xlabel("seconds")
     if names:
         below.legend(loc="lower right", fontsize="small")
--- a/cardamommill/experiment/troubles.py
+++ b/cardamommill/experiment/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run, each at its time."""
+"""Injects faults and other events into a run at their times."""
 
 import asyncio
 import collections
@@ -19,7 +19,8 @@
 from cardamommill.gateway import clock
 from cardamommill.platform import wirenames
 
-# The longest that the operator takes to write again after a restore.
+# Maximum time until the operator publishes the configuration again after a
+# restore.
 MAX_REPUBLISH_DELAY_S = 1.8
 
 
@@ -33,7 +34,7 @@
 
 
 class SimulatedRun(Protocol):
-    """The run that troubles happen to; see `world.World`."""
+    """The run into which faults are injected; see `world.World`."""
 
     deployment: deployments.Deployment
     loop: virtualloop.VirtualLoop
@@ -50,24 +51,24 @@
         """Returns the entry VMs."""
 
     def spawn(self, host: str, work: Any) -> asyncio.Task[Any]:
-        """Runs something on a host."""
+        """Runs a coroutine on a host."""
 
     def add_runner(self, place: str, domain: str,
                    service: str) -> modelfleet.ListedRunner:
         """Starts a runner."""
 
     async def kill_node(self, name: str, for_s: float) -> None:
-        """Ends an entry VM's process for a while."""
+        """Kills an entry VM's process and restarts it after `for_s`."""
 
 
 class Troubles:
-    """Carries out the troubles of one run; a method for each kind."""
+    """Injects the faults of one run, with a method for each kind."""
 
     def __init__(self, world: SimulatedRun) -> None:
         self._world = world
 
     async def inject(self, trouble: deployments.Trouble) -> None:
-        """Lets a trouble happen when its time has come."""
+        """Waits until the fault's time, then injects it."""
         await asyncio.sleep(trouble.at_s)
         handler = getattr(self, f"_{trouble.kind}")
         await handler(trouble)
@@ -122,11 +123,11 @@
             self._world.loop.network.end_processes(runner.host)
 
     async def _heads_fail(self, trouble: deployments.Trouble) -> None:
-        """Has heads of open groups fail all they are sent, and look well."""
+        """Makes heads fail all requests while they report good health."""
         await self._fail_heads(trouble, modelfleet.Fault.ERROR)
 
     async def _heads_reset(self, trouble: deployments.Trouble) -> None:
-        """Has them reset connections instead."""
+        """Makes heads reset the connections of all requests."""
         await self._fail_heads(trouble, modelfleet.Fault.RESET)
 
     async def _fail_heads(self, trouble: deployments.Trouble,
@@ -135,11 +136,11 @@
                            fault, modelfleet.Fault.NONE)
 
     async def _heads_limited(self, trouble: deployments.Trouble) -> None:
-        """Has heads name a rate limit, the factor, in requests a second."""
+        """Makes heads advertise a rate limit of `factor` requests/s."""
         await self._limit(trouble, self._draw_heads(trouble.count))
 
     async def _plain_limited(self, trouble: deployments.Trouble) -> None:
-        """Has plain runners name one."""
+        """Makes plain runners advertise a limit of `factor` requests/s."""
         await self._limit(trouble, self._draw_plain_runners(trouble.count))
 
     async def _limit(self, trouble: deployments.Trouble,
@@ -148,11 +149,11 @@
                            None)
 
     async def _heads_rest(self, trouble: deployments.Trouble) -> None:
-        """Has heads turn all away and ask for a rest, the factor, in s."""
+        """Makes heads refuse all requests, with `factor` as Retry-After."""
         await self._rest(trouble, self._draw_heads(trouble.count))
 
     async def _plain_rest(self, trouble: deployments.Trouble) -> None:
-        """Has plain runners ask for one."""
+        """Makes plain runners refuse all, with `factor` as Retry-After."""
         await self._rest(trouble, self._draw_plain_runners(trouble.count))
 
     async def _rest(self, trouble: deployments.Trouble,
@@ -162,7 +163,7 @@
     async def _change(self, trouble: deployments.Trouble,
                       runners: list[modelfleet.ListedRunner], field: str,
                       value: Any, normal: Any) -> None:
-        """Gives runners a fault for as long as the trouble lasts."""
+        """Sets a field of runners to a value for the fault's duration."""
         for runner in runners:
             setattr(runner, field, value)
         await asyncio.sleep(trouble.for_s or math.inf)
@@ -177,9 +178,10 @@
         return self._world.rng.sample(plain, min(count, len(plain)))
 
     def _draw_heads(self, count: int) -> list[modelfleet.ListedRunner]:
-        """Draws heads of open groups.
+        """Draws heads of groups at random.
 
-        Of each model as many, so that the others of each have room for all.
+        They are spread evenly over the models, so that the remaining groups of
+        each model have capacity for all its requests.
         """
         heads = [
             each for each in self._world.fleet.runners.values()
@@ -210,7 +212,10 @@
             runner.pace = 1.0
 
     async def _heads_leave(self, trouble: deployments.Trouble) -> None:
-        """Has heads leave that can't report so, and serve on for a while."""
+        """Makes heads leave while they cannot inform the store.
+
+        They serve on for the duration, then end.
+        """
         leaving = self._draw_heads(trouble.count)
         for runner in leaving:
             runner.store_cut = runner.leaving = True
@@ -309,10 +314,11 @@
         self._world.store.slow_factor = 1.0
 
     async def _store_restored(self, trouble: deployments.Trouble) -> None:
-        """Loses the last seconds that the store acknowledged.
+        """Restores the store from a backup, losing acknowledged writes.
 
-        It is away first; the factor says how many seconds are lost. Runners
-        write again with their next heartbeat, the operator some time later.
+        The store is silent for the duration first; the last `factor` seconds of
+        writes are lost. Runners write again with their next heartbeat, the
+        operator some time later.
         """
         store = self._world.store
         self._world.run_oracle.counts_loads = False
@@ -329,7 +335,7 @@
         self._world.run_oracle.counts_loads = True
 
     async def _store_cut(self, trouble: deployments.Trouble) -> None:
-        """Cuts nodes off from the store alone, over all data centres."""
+        """Cuts nodes of all data centres off from the store only."""
         network = self._world.loop.network
         for machine in list(self._world.machines.values())[:trouble.count]:
             network.cut(machine.host, modelstore.ADDRESS[0])
@@ -360,7 +366,7 @@
 
     async def _plain_cut(self, trouble: deployments.Trouble) -> None:
         del trouble
-        # Runners lose the connections of requests that they run.
+        # Requests in flight at plain runners lose their connections.
         for runner in self._world.fleet.runners.values():
             if runner.service == "plain":
                 self._world.loop.network.reset_connections(runner.host)
--- a/cardamommill/experiment/virtualloop.py
+++ b/cardamommill/experiment/virtualloop.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock and network are simulated.
+"""An asyncio event loop with a simulated clock and network.
 
-Whole nodes, the model's store, runners and clients run in it unchanged: what
-they await takes no time on the real clock, and a run repeats exactly.
+Nodes run in it unmodified, beside the simulated store, runners and clients.
+Waiting takes no real time, and a run is reproducible from its seed.
 """
 
 import asyncio
@@ -16,25 +16,26 @@
 
 
 class _Selector:
-    """Lets time pass in place of waiting."""
+    """Advances the simulated clock instead of waiting for I/O."""
 
     def __init__(self, loop: "VirtualLoop") -> None:
         self._loop = loop
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Moves the clock on."""
+        """Advances the clock by the timeout; there are never I/O events."""
         if timeout is None:
-            raise RuntimeError("nothing will ever happen: a deadlock")
+            raise RuntimeError(
+                "deadlock: no callback is scheduled and there is no I/O")
         if timeout > 0:
             self._loop.advance(timeout)
         return []
 
     def close(self) -> None:
-        """Does nothing."""
+        """Does nothing; required by asyncio."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Runs many hosts on one simulated clock."""
+    """Event loop that runs many hosts on one simulated clock."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -44,7 +45,7 @@
         self.signals: dict[tuple[str, int], Callable[[], None]] = {}
 
     def advance(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated clock."""
         self._now_s += seconds
 
     def time(self) -> float:
@@ -52,7 +53,7 @@
         return self._now_s
 
     def now_ms(self) -> float:
-        """Returns the simulated time as the product's clock."""
+        """Returns the simulated time in the form of `gateway.clock`."""
         return 1e6 + self._now_s * units.MS_PER_S
 
     def _process_events(self, event_list: Any) -> None:
@@ -63,7 +64,7 @@
 
     def add_signal_handler(  # type: ignore[override]
             self, sig: int, callback: Any, *args: Any) -> None:
-        """Notes a handler for `signal_host`."""
+        """Registers a signal handler of the current host."""
         self.signals[(virtualnetwork.HOST.get(),
                       int(sig))] = lambda: callback(*args)
 
@@ -78,7 +79,7 @@
                                 host: Any = None,
                                 port: Any = None,
                                 **options: Any) -> Any:
-        """Connects; hangs where the peer is dark or cut off."""
+        """Connects; hangs if the peer is unreachable or cut off."""
         del options
         source = virtualnetwork.HOST.get()
         network = self.network
@@ -110,7 +111,7 @@
                             host: Any = None,
                             port: Any = None,
                             **options: Any) -> Any:
-        """Listens."""
+        """Registers a listener at an address of the simulated network."""
         del options
         address = (str(host), int(port))
         self.network.listeners[address] = protocol_factory
@@ -133,7 +134,7 @@
 
 @contextlib.contextmanager
 def running(seed: int) -> Any:
-    """Gives a loop, with the product's clock set to it."""
+    """Yields a loop, with `gateway.clock` set to its simulated time."""
     loop = VirtualLoop(seed)
     with clock.override(loop.now_ms):
         try:
--- a/cardamommill/experiment/virtualnetwork.py
+++ b/cardamommill/experiment/virtualnetwork.py
@@ -1,4 +1,4 @@
-"""A simulated network: hosts, connections, datagrams, delays and cuts."""
+"""A simulated network with delays, datagram loss and partitions."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,22 +11,23 @@
 
 Address = tuple[str, int]
 
-# Timers of one moment run in no certain order, packets do.
+# Timers due at the same time run in no defined order; this gap between the
+# packets of a connection keeps them in order.
 MIN_PACKET_GAP_S = 1e-9
 
-# Whose code is running: connections begin at this host.
+# The host whose code is running; its connections originate there.
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host",
                                                            default="client")
 
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A machine of the model.
+    """A simulated machine.
 
     Attributes:
         place: Its data centre.
-        is_unreachable: Whether it neither sends nor receives.
-        incarnation: Counts its restarts; what an earlier life sent is lost.
+        is_unreachable: Whether it can neither send nor receive.
+        incarnation: Number of its restarts.
     """
 
     place: str = ""
@@ -35,7 +36,7 @@
 
 
 class Network:
-    """Links between hosts, with delays and cuts."""
+    """Hosts and the links between them, with delays and partitions."""
 
     def __init__(self, rng: random.Random) -> None:
         self.hosts: dict[str, Host] = {}
@@ -49,42 +50,45 @@
         self._rng = rng
 
     def host(self, name: str) -> Host:
-        """Returns a host, new with its first use."""
+        """Returns a host, creating it at first use."""
         return self.hosts.setdefault(name, Host())
 
     def cut(self, one: str, other: str) -> None:
-        """Cuts two hosts from each other."""
+        """Cuts the link between two hosts."""
         self._cut.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Mends all cuts."""
+        """Restores all links that were cut."""
         self._cut.clear()
 
     def reaches(self, source: str, target: str) -> bool:
-        """Whether what one host sends arrives at another."""
+        """Returns whether packets from one host arrive at another."""
         if self.host(source).is_unreachable or self.host(target).is_unreachable:
             return False
         return frozenset((source, target)) not in self._cut
 
     def delay_s(self, source: str, target: str) -> float:
-        """Returns how long a packet takes."""
+        """Returns the delay of a packet, chosen at random."""
         same = self.host(source).place == self.host(target).place
         base_ms = self.in_place_ms if same else self.between_places_ms
         return base_ms * self._rng.uniform(1.0, 1.1) / units.MS_PER_S
 
     def lost(self) -> bool:
-        """Whether a datagram is lost."""
+        """Returns at random whether a datagram is lost."""
         return self._rng.random() < self.loss
 
     def reset_connections(self, name: str) -> None:
-        """Resets all connections of a host, which listens on."""
+        """Resets all connections of a host; its listeners stay open."""
         for transport in [
                 each for each in self.transports if each.host == name
         ]:
             transport.abort()
 
     def end_processes(self, name: str) -> None:
-        """Ends all that a host has open; peers see resets unless it is dark."""
+        """Closes all sockets of a host.
+
+        Peers see connection resets unless the host is unreachable.
+        """
         host = self.host(name)
         host.incarnation += 1
         for address in [each for each in self.listeners if each[0] == name]:
@@ -117,11 +121,11 @@
         network.transports[self] = None
 
     def join(self, peer: "FakeTransport") -> None:
-        """Names the other end."""
+        """Sets the other end of the connection."""
         self._peer = peer
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Knows nothing; see asyncio."""
+        """Returns the default; see asyncio."""
         del name
         return default
 
@@ -130,7 +134,7 @@
         return self._closing
 
     def get_write_buffer_size(self) -> int:
-        """All is sent at once; see asyncio."""
+        """Returns 0, since writes are never buffered; see asyncio."""
         return 0
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
@@ -153,20 +157,24 @@
             self._loop.call_soon(self._receive, data)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Sends; see asyncio."""
+        """Sends data to the peer; see asyncio."""
         if not self._closing and data:
             self._schedule_delivery(self._deliver, bytes(data))
 
     def close(self) -> None:
-        """Ends after what was sent; see asyncio."""
+        """Closes after data already sent; see asyncio."""
         self._end(None)
 
     def abort(self) -> None:
-        """Ends at once; see asyncio."""
+        """Resets the connection; see asyncio."""
         self._end(ConnectionResetError("reset by peer"))
 
     def drop_connection(self, reset: bool) -> None:
-        """Its process is gone: the peer hears of it, or never does."""
+        """Drops the connection of a process that ended.
+
+        Args:
+            reset: Whether the peer is notified by a connection reset.
+        """
         if reset:
             self._schedule_delivery(self._notify_peer_closed,
                                     ConnectionResetError("reset by peer"))
@@ -182,7 +190,7 @@
         self._loop.call_soon(self._protocol.connection_lost, None)
 
     def _schedule_delivery(self, act: Callable[[Any], None], what: Any) -> None:
-        # In order: a later packet never overtakes an earlier one.
+        # Packets of a connection stay in order.
         at_s = max(
             self._loop.time() +
             self._network.delay_s(self.host, self._peer_host),
@@ -191,7 +199,7 @@
         self._loop.call_at(at_s, self._arrive, act, what)
 
     def _arrive(self, act: Callable[[Any], None], what: Any) -> None:
-        # Bytes that meet a cut are lost with their connection.
+        # Data that arrives while the link is cut is lost.
         if self._network.reaches(self.host, self._peer_host):
             act(what)
 
@@ -200,7 +208,7 @@
             self._peer.receive(data)
 
     def receive(self, data: bytes) -> None:
-        """Takes bytes from the other end."""
+        """Receives data from the other end, buffering it while paused."""
         if self._closing:
             return
         if self._paused:
@@ -223,7 +231,7 @@
             self._peer.on_peer_closed(error)
 
     def on_peer_closed(self, error: Exception | None) -> None:
-        """Hears that the other end is gone."""
+        """Handles the close or reset of the connection by the other end."""
         if self._closing:
             return
         token = HOST.set(self.host)
@@ -238,14 +246,14 @@
 
 
 class FakeServer:
-    """What create_server returns."""
+    """The server object that `create_server` returns."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self._network = network
         self._address = address
 
     def close(self) -> None:
-        """Takes no more connections."""
+        """Stops accepting connections."""
         self._network.listeners.pop(self._address, None)
 
     def is_serving(self) -> bool:
@@ -267,7 +275,7 @@
         self._address = address
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Sends; see asyncio."""
+        """Sends a datagram, unless it is lost; see asyncio."""
         source, target = self._address[0], addr[0]
         if self._network.lost() or not self._network.reaches(source, target):
             return
--- a/cardamommill/experiment/world.py
+++ b/cardamommill/experiment/world.py
@@ -1,4 +1,4 @@
-"""Plays a deployment: whole nodes, a store, runners, clients, troubles."""
+"""Runs a deployment in simulation: nodes, store, runners, clients, faults."""
 
 import asyncio
 import contextvars
@@ -34,7 +34,7 @@
 CONTROL_PORT = 8229
 PEER_PORT = 7340
 RESTART_S = 0.5
-# A runner's entry lapses after three heartbeats of silence.
+# A runner's entry expires after three missed heartbeats.
 ENTRY_EXPIRY_MS = 3 * modelfleet.HEARTBEAT_MS
 
 
@@ -52,10 +52,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What a run gave.
+    """The results of a run.
 
     Attributes:
-        open_groups: Pairs of the time and open groups by model.
+        open_groups: Pairs of a time and the number of open groups by model.
+        store_calls: Number of calls to the store.
+        started_ms: When traffic started.
     """
 
     name: str
@@ -67,17 +69,17 @@
 
     @property
     def earned(self) -> float:
-        """Credit earned, as a part of that owed."""
+        """The ratio of the credit earned to the credit owed."""
         owed = sum(each.owed for each in self.results)
         return sum(each.worth for each in self.results) / owed if owed else 0.0
 
     def share(self, outcome: str) -> float:
-        """Returns the part of requests that ended so."""
+        """Returns the fraction of requests with this outcome."""
         count = sum(each.outcome == outcome for each in self.results)
         return count / len(self.results) if self.results else 0.0
 
     def worst_window(self, window_ms: float = 4000.0) -> float:
-        """Returns the least credit in windows of this length."""
+        """Returns the lowest credit ratio of any window of this length."""
         worst = 1.0
         last_ms = max((each.at_ms for each in self.results), default=0.0)
         start_ms = self.started_ms
@@ -94,7 +96,7 @@
 
 
 class World:
-    """One run; use `play`."""
+    """The simulated deployment of one run; use `play` to run one."""
 
     def __init__(self, deployment: deployments.Deployment, seed: int,
                  loop: virtualloop.VirtualLoop) -> None:
@@ -127,20 +129,23 @@
         return json.dumps(self.deployment.configuration(self.version,
                                                         self.keys)).encode()
 
-    # What clients ask.
-
     def model_name(self, name: str) -> str:
         """Returns a model's name on the wire."""
         return name
 
     def stride(self, service: str) -> int:
-        """Returns the tokens an event."""
+        """Returns the number of tokens per event."""
         engine = self.fleet.engines.get(service)
         return engine.stride if engine else 1
 
     def choose_node(self, place: str,
                     rng: random.Random) -> upstream.Address | None:
-        """Returns where the balancer sends a new connection."""
+        """Returns the node address that the balancer chooses for a connection.
+
+        It prefers ready nodes of the data centre. If fewer than half of its
+        nodes are ready it uses all of them, and if none is, ready nodes of the
+        other data centres. Returns None if no node is ready.
+        """
         local = [each for each in self.machines.values() if each.place == place]
         ready = [each for each in local if each.failed_probes < 2]
         if 2 * len(ready) < len(local):
@@ -154,10 +159,8 @@
             return None
         return rng.choice(ready).host, FRONT_PORT
 
-    # Beginning.
-
     def spawn(self, host: str, work: Any) -> asyncio.Task[Any]:
-        """Runs something as the process of a host."""
+        """Runs a coroutine as a process of a host."""
         context = contextvars.copy_context()
         context.run(virtualnetwork.HOST.set, host)
         task = self.loop.create_task(work, context=context)
@@ -225,13 +228,13 @@
         node = machine.node
         assert node is not None
         await node.serve()
-        # It ended by itself: the platform starts it again.
+        # The process ended by itself: the platform restarts it.
         await asyncio.sleep(RESTART_S)
         if machine.node is node:
             self.start_node(machine.name)
 
     async def kill_node(self, name: str, for_s: float) -> None:
-        """Ends a node's process at once, and starts another later."""
+        """Kills a node's process and restarts it after at least RESTART_S."""
         machine = self.machines[name]
         self.run_oracle.record_restart(machine.host)
         if machine.task is not None:
@@ -279,10 +282,8 @@
                     counts[runner.served] = counts.get(runner.served, 0) + 1
         return counts
 
-    # The run.
-
     async def play(self) -> Outcome:
-        """Plays the whole run."""
+        """Starts the deployment, sends all traffic and returns the results."""
         await self.start()
         await asyncio.sleep(self.deployment.lead_s)
         started_ms = clock.now_ms()
@@ -311,7 +312,7 @@
 
 def play(deployment: deployments.Deployment,
          seed: int | None = None) -> Outcome:
-    """Plays a deployment in simulated time and returns what came of it."""
+    """Runs a deployment in simulated time and returns the results."""
     run_seed = deployment.seed if seed is None else seed
     with logbook.NullHandler(), virtualloop.running(run_seed) as loop:
         asyncio.set_event_loop(loop)
--- a/tests/experiment/test_deaf_nodes.py
+++ b/tests/experiment/test_deaf_nodes.py
@@ -1,4 +1,4 @@
-"""Plays nodes that reach the store and all runners, but not each other."""
+"""Tests nodes that reach the store and all runners, but not each other."""
 
 import pytest
 
@@ -7,11 +7,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_planners_that_hear_none_of_each_other_break_no_rule(monkeypatch, seed):
-    """Each plans for all; a node is killed and three runners go dark.
+def test_planners_without_peer_updates_break_no_rule(monkeypatch, seed):
+    """Every node plans for all; a node dies and three runners are unreachable.
 
-    Groups are formed over each other's orders all the while. Only the runners'
-    counts of orders keep a member of an open group out of the next one.
+    The planners form groups with conflicting orders. Only the runners' order
+    counts keep a member of an open group out of another group.
     """
     monkeypatch.setattr(nodelink.NodeLink, "_send", lambda *_: None)
     outcome = test_world.play(test_world.trouble("node_kill",
--- a/tests/experiment/test_failing_heads.py
+++ b/tests/experiment/test_failing_heads.py
@@ -1,11 +1,11 @@
-"""Plays heads of groups that fail all that they are sent, and look well."""
+"""Tests heads that fail all requests while they report good health."""
 
 import pytest
 
 from tests.experiment import test_sharing, test_world
 
 FROM_S = 2.0
-# By then some tries have failed at each of them, and nodes have told so.
+# By then attempts have failed at each of them, and nodes have reported it.
 KNOWN_S = 3.0
 UNTIL_S = 9.0
 STREAMS = [
@@ -16,7 +16,7 @@
 
 
 def play(kind, count, seed):
-    """Plays more nodes than one's own tries could teach in time."""
+    """Runs so many nodes that each needs the failures that others report."""
     return test_world.play(test_world.trouble(kind,
                                               FROM_S,
                                               count=count,
@@ -33,12 +33,12 @@
 @pytest.mark.parametrize("kind", ["heads_fail", "heads_reset"])
 @pytest.mark.parametrize("seed", [1, 3])
 def test_heads_that_fail_all_at_once_get_few_requests(kind, seed):
-    """Two heads of eight fail what they get at once; their health is good.
+    """Two heads of eight fail requests at once but report good health.
 
-    Nothing is in flight there, so that every node finds them the quickest and
-    sends them most of what comes; a second try meets the other one, or is not
-    allowed, since the repeats of all nodes are used up by then. The others have
-    room for all.
+    With no requests in flight they look least loaded, so every node sends them
+    most requests. A second attempt reaches the other failing head, or is not
+    allowed since the retry budget is used up. The other heads have capacity for
+    all requests.
     """
     outcome = play(kind, 2, seed)
     assert not outcome.violations
--- a/tests/experiment/test_limited_runners.py
+++ b/tests/experiment/test_limited_runners.py
@@ -1,4 +1,4 @@
-"""Plays runners that ask callers for less, by headers of their answers."""
+"""Tests flow control by runners through headers of their answers."""
 
 import pytest
 
@@ -7,13 +7,13 @@
 
 PLACES = {"a": 3, "b": 2, "c": 1}
 FROM_S = 1.0
-# Some 5 requests a second for each head: it gets more than it takes.
+# About 5 requests per second for each head, more than it accepts.
 KINDS = (deployments.KindSpec(name="answer",
                               per_s=40,
                               model="small",
                               prompt_tokens=700,
                               answer_tokens=220),)
-# What the other groups bear while one of four takes nothing.
+# A load that three of four groups can carry while one refuses everything.
 REDUCED_KINDS = (KINDS[0].model_copy(update={"per_s": 26}),)
 
 PLAIN_PER_S = {"record": 20, "status": 10}
@@ -37,8 +37,8 @@
 
 @SEEDS
 @FLEETS
-def test_runner_gets_no_more_than_the_limit_that_it_names(places, seed):
-    """Nodes that do not heed a limit, or each for itself, exceed it."""
+def test_runner_gets_no_more_than_its_rate_limit(places, seed):
+    """Nodes that ignore the limit, or each apply it alone, exceed it."""
     outcome = play(test_world.trouble("heads_limited",
                                       FROM_S,
                                       count=2,
@@ -50,8 +50,8 @@
 
 @SEEDS
 @FLEETS
-def test_runner_that_asks_for_rest_is_left_alone(places, seed):
-    """A head that turns all away is the least loaded and drew ever more."""
+def test_runner_that_asks_for_rest_gets_few_requests(places, seed):
+    """A head that refuses all requests is least loaded and attracts more."""
     outcome = play(test_world.trouble("heads_rest",
                                       FROM_S,
                                       count=2,
@@ -66,8 +66,8 @@
 
 @pytest.mark.parametrize("kind,factor", [("plain_limited", 1.0),
                                          ("plain_rest", 3.0)])
-def test_plain_runner_is_sent_no_more_than_it_asks_for(kind, factor):
-    """Without groups there is no head to avoid, only runners to choose from."""
+def test_plain_runner_gets_no_more_than_it_asks_for(kind, factor):
+    """A plain service has no heads to avoid, only runners to choose from."""
     outcome = play(test_world.trouble(kind,
                                       FROM_S,
                                       count=1,
@@ -80,8 +80,8 @@
 
 @SEEDS
 @FLEETS
-def test_runner_that_says_that_it_leaves_gets_no_new_requests(places, seed):
-    """The store does not hear of it, and keeps its entry until it lapses."""
+def test_leaving_runner_gets_no_new_requests(places, seed):
+    """The store is not informed, and keeps its entry until it expires."""
     outcome = play(test_world.trouble("heads_leave", FROM_S, count=2,
                                       for_s=7.0),
                    places=places,
--- a/tests/experiment/test_mixes.py
+++ b/tests/experiment/test_mixes.py
@@ -1,4 +1,4 @@
-"""Tests of rules under troubles that are drawn by chance, with fixed seeds."""
+"""Tests of rules under random mixes of faults, with fixed seeds."""
 
 import pytest
 
@@ -16,11 +16,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4000, 4004))
-def test_no_rule_is_broken_in_a_mix_where_runners_ask_for_less(seed):
+def test_no_rule_is_broken_in_a_mix_with_flow_control(seed):
     assert not mixes.play(seed, "advice").violations
 
 
-def test_mixes_differ_and_repeat():
+def test_mixes_are_reproducible_and_cover_all_kinds():
     drawn = [mixes.draw(seed) for seed in range(30)]
     assert drawn == [mixes.draw(seed) for seed in range(30)]
     assert {each["kind"] for mix in drawn for each in mix} == set(mixes.KINDS)
--- a/tests/experiment/test_modelclients.py
+++ b/tests/experiment/test_modelclients.py
@@ -1,4 +1,4 @@
-"""Tests of what clients of the model take for a broken rule."""
+"""Tests of the rule violations that simulated clients detect."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 
 
 class World:
-    """One node, which answers as a test says."""
+    """A world with one node."""
 
     all_keys = (("t", "k"),)
 
@@ -47,7 +47,7 @@
 
 
 def broken_rules(behind_events):
-    """Returns the rules that are broken if these bytes follow two events."""
+    """Returns the rules that are broken when bytes follow two events."""
     run_oracle = oracle.Oracle(oracle.Limits(1.0))
 
     def handler(request, reply):
@@ -81,11 +81,11 @@
     (b"3\r\ndat", set()),
     (b"0\r\n\r\n", {"ORDER"}),
 ])
-def test_bytes_that_are_no_answer_break_a_rule(behind_events, rules):
-    """A client gets two events, and then what belongs to no stream.
+def test_invalid_bytes_after_events_break_a_rule(behind_events, rules):
+    """A client gets two events, then bytes that are not part of the stream.
 
-    Taken for one more failure, a second answer within the first was seen by no
-    run of the model. An answer that only ends early breaks no rule, one that
-    looks whole too early does.
+    Counted as a failure only, a second answer within the first would go
+    undetected in simulated runs. An answer that is cut off early breaks no
+    rule; one that ends early but looks complete does.
     """
     assert broken_rules(behind_events) == rules
--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -1,4 +1,4 @@
-"""Plays data centres that tell each other their loads and news as a whole."""
+"""Tests loads and updates that data centres report to each other."""
 
 import asyncio
 
@@ -19,10 +19,10 @@
     return test_world.play(places={"a": nodes, "b": nodes}, length_s=length_s)
 
 
-def test_news_of_one_data_centre_reaches_all_nodes_of_the_other(monkeypatch):
-    """A planner tells two nodes of the other one, and these the rest.
+def test_updates_of_a_data_centre_reach_all_nodes_of_the_other(monkeypatch):
+    """A planner informs two nodes of the other one, and these the rest.
 
-    Known by the list alone, a new group gets no requests for seconds.
+    With the runner list alone, a new group gets no requests for seconds.
     """
     nodes, known = [], []
     begin, opened = entrynode.EntryNode.__init__, entrynode.EntryNode._on_opened
@@ -49,7 +49,7 @@
 
 
 def test_loads_of_the_other_data_centre_are_known_to_all_nodes(monkeypatch):
-    """Told by each node to each, they came so late that they said little."""
+    """Loads sent from each node to every other arrive too late to be of use."""
     seen = {}
     look = dispatcher.Dispatcher.update_from_peers
 
@@ -66,7 +66,7 @@
 
 
 def test_bytes_between_data_centres_follow_reports_not_pairs(monkeypatch):
-    """Twice the nodes are four times the pairs; reporters stay as many."""
+    """Twice the nodes make four times the pairs, but no more reporters."""
 
     def far_bytes_per_s(nodes):
         sent = []
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -1,4 +1,4 @@
-"""Plays nodes that share what a few of them read of the store."""
+"""Tests nodes that share the tables that a few of them read."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 def served(outcome, from_s, to_s):
-    """The part of requests that were served, of those sent within a time."""
+    """Returns the fraction served of the requests sent in a time span."""
     inside = [
         each for each in outcome.results
         if from_s * 1000 <= each.at_ms - outcome.started_ms < to_s * 1000
@@ -38,11 +38,11 @@
 
 
 def test_calls_to_the_store_grow_with_data_centres_not_with_nodes(monkeypatch):
-    """Each call has a price and the store a bound, whatever nodes there are."""
+    """Calls are costly and the store's capacity does not grow with nodes."""
     few, many = play(nodes=2), play(nodes=8)
     assert not many.violations
     assert many.share("in-aim") > 0.97
-    # What each does at its start, and a reader that plans besides.
+    # Calls of each node at its start, and those of a reader that also plans.
     assert many.store_calls < 1.6 * few.store_calls
     monkeypatch.setattr(sourceselector.SourceSelector, "_reader",
                         lambda *_: None)
@@ -50,7 +50,7 @@
 
 
 def test_only_readers_read_the_whole_list_when_all_nodes_start(monkeypatch):
-    """Hundreds of nodes that start at once each read a thousand rows."""
+    """Otherwise hundreds of nodes starting at once each read 1000 rows."""
     whole = []
     table = storecalls.StoreClient.table
 
@@ -60,16 +60,16 @@
 
     monkeypatch.setattr(storecalls.StoreClient, "table", counted)
     assert not play(nodes=12, length_s=1.0).violations
-    # Two of the one data centre, the only node of the other.
+    # Two nodes of one data centre and the only node of the other.
     assert whole.count(wirenames.SERVERS_TABLE) <= 3
     assert whole.count(wirenames.OPERATOR_TABLE) <= 3
 
 
 def test_nodes_cut_from_the_store_serve_on_what_their_peers_read():
-    """Four of seven nodes are cut off from the store alone, for 9 s.
+    """Four of seven nodes are cut off from the store alone for 9 s.
 
-    Their keys would be unconfirmed after 4.4 s and every request refused,
-    though three peers that they reach have it confirmed all the while.
+    Without data from peers their keys would be unconfirmed after 4.4 s and
+    every request refused, though three reachable peers have them confirmed.
     """
     outcome = play(FOUR_CUT, length_s=10.0)
     assert not outcome.violations
@@ -99,7 +99,7 @@
     },
 ])
 def test_no_rule_is_broken_where_rows_come_from_peers(trouble):
-    """Keys go, runners leave, readers die while half the nodes are cut off."""
+    """Keys are revoked, runners leave and readers die during a store cut."""
     outcome = play({
         "kind": "store_cut",
         "at_s": 1.0,
@@ -113,10 +113,10 @@
 
 
 def test_copy_of_a_peer_that_is_cut_off_too_is_refused(monkeypatch):
-    """All nodes lose the store; each would pass its old copy on for ever.
+    """All nodes lose the store and could pass on old copies indefinitely.
 
-    Keys are taken away then. Whoever takes an old copy for news of now
-    lets them work for too long.
+    Keys are revoked meanwhile. A node that treats an old copy as current
+    accepts them for too long.
     """
     troubles = ({
         "kind": "store_silent",
@@ -140,10 +140,10 @@
 
 
 def test_nodes_cut_from_the_store_are_not_sent_whole_tables(monkeypatch):
-    """Each tries the store now and then, which fails, and asks peers on.
+    """Each node retries the store, fails, and continues to read from peers.
 
-    Made to begin anew by each such try, a data centre that was cut off had
-    whole tables sent from the others for as long as the cut lasted.
+    If each failed attempt restarted the read, a data centre that is cut off
+    would fetch whole tables from the others for as long as the cut lasts.
     """
     whole = []
     table = peertables.PeerTableClient.table
@@ -155,13 +155,13 @@
     monkeypatch.setattr(peertables.PeerTableClient, "table", counted)
     outcome = play(FOUR_CUT, length_s=10.0)
     assert not outcome.violations
-    # What nodes that start later than their reader have it send.
+    # Only nodes that start later than their reader fetch a whole table.
     assert len(whole) <= 4, whole
     assert all(at_ms < outcome.started_ms for at_ms in whole)
 
 
 def lags_ms(monkeypatch, *faults):
-    """Returns how long after its writing nodes took each configuration."""
+    """Returns the delays until nodes applied each new configuration."""
     written_ms, found = {}, []
     publish = troubles.Troubles._publish
     take = platformreader.PlatformReader._apply_configuration
@@ -187,13 +187,14 @@
 
 
 @pytest.mark.parametrize("cut", [2, 4])
-def test_node_whose_source_is_cut_off_asks_who_knows_more(monkeypatch, cut):
-    """Keys go just after the store fell silent for readers of a data centre.
-
-    The other nodes know at once, and say so with each heartbeat. A cut-off
-    reader waited for its call of some seconds, and its followers, also those
-    that the store would have answered, for the reader, until what it told was
-    too old: a dozen nodes of eighty let the keys in, then refused all keys.
+def test_node_whose_source_is_cut_off_asks_a_newer_peer(monkeypatch, cut):
+    """Keys are revoked just after readers of a data centre lost the store.
+
+    Other nodes know at once and report it with each heartbeat. A reader that
+    is cut off waits some seconds for its call, and its followers wait for the
+    reader until its data is too old, even those that can reach the store. A
+    dozen nodes of eighty then accepted the revoked keys and later refused all
+    keys.
     """
     found = lags_ms(monkeypatch, {
         "kind": "store_cut",
@@ -213,7 +214,7 @@
 
 
 def record_newer_reads(monkeypatch):
-    """Returns which nodes ask for a newer configuration, as they do."""
+    """Returns a list that records nodes asking peers for a newer one."""
     asked = []
     read_newer_from_peer = tablereader.TableReader.read_newer_from_peer
 
@@ -227,7 +228,7 @@
 
 
 def test_followers_get_what_their_readers_asked_others_for(monkeypatch):
-    """Asked for by each node of a data centre, it would come as often."""
+    """Otherwise each node of a data centre would fetch it from another one."""
     asked = record_newer_reads(monkeypatch)
     found = lags_ms(monkeypatch, {
         "kind": "store_cut",
@@ -242,8 +243,8 @@
     assert set(asked) == {"node-a-1", "node-a-2"}
 
 
-def test_nodes_do_not_ask_each_other_while_their_sources_tell(monkeypatch):
-    """Each heartbeat may tell of a configuration some ms before the source."""
+def test_nodes_do_not_ask_peers_while_their_sources_answer(monkeypatch):
+    """A heartbeat may announce a configuration some ms before the source."""
     asked = record_newer_reads(monkeypatch)
     found = lags_ms(
         monkeypatch,
@@ -256,7 +257,7 @@
 
 
 def leaving_lags_ms(monkeypatch, **fields):
-    """Returns how long followers took to know that runners leave."""
+    """Returns the delays until followers knew that runners leave."""
     left_ms, found = {}, []
     drain = modelrunner.ModelRunner.drain
     take = platformreader.PlatformReader._apply_list
@@ -296,22 +297,22 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_followers_of_cut_off_readers_keep_the_drain_bound(monkeypatch, seed):
-    """Runners begin to leave just after both readers lost the store.
+    """Runners start to leave just after both readers lost the store.
 
-    Their followers, whom the store would answer, read on what these had. It
-    was left when it was 2.8 s old, up to half a second later still, and
-    requests went to runners that had left 2 s before.
+    Their followers can reach the store but keep reading from them. If they
+    switch only when the data is 2.8 s old, up to half a second later still,
+    requests go to runners that left 2 s before.
     """
     found = leaving_lags_ms(monkeypatch, seed=seed)
     assert len(found) == 4 * 7
     assert max(found) < entrysettings.Bounds().drain_ms
 
 
-def test_followers_stay_with_sound_readers_of_a_list_without_news(monkeypatch):
-    """A list that is waited for grows as old as the wait.
+def test_followers_stay_with_readers_of_an_unchanged_list(monkeypatch):
+    """An unchanged list becomes as old as the long poll that waits for it.
 
-    Readers let it grow to the very age at which their followers left them, so
-    these went to the store each for itself, again and again, in calm times.
+    If readers let it reach the age at which followers switch their source, each
+    follower goes to the store by itself, again and again, without any fault.
     """
     left = []
     failed = sourceselector.SourceSelector.failed
--- a/tests/experiment/test_shifted_work.py
+++ b/tests/experiment/test_shifted_work.py
@@ -1,4 +1,4 @@
-"""Plays work that is other than what the models' shares declare."""
+"""Tests load that differs from the declared shares of the models."""
 
 from cardamommill.experiment import deployments, world
 from cardamommill.gateway import rebalancing
@@ -15,12 +15,12 @@
              "per_s": 33,
              "answer_tokens": 180
          }))
-# By then a load has ended, and the groups of its runners stand.
+# By then a model has been loaded, and the groups of its runners are open.
 MOVED_MS = 11_000.0
 
 
 def served_in_time(seed):
-    """Returns what part comes in time once groups could have moved."""
+    """Returns the fraction in time once groups can have moved."""
     deployment = deployments.Deployment(name="shifted",
                                         lead_s=9,
                                         length_s=18,
@@ -37,8 +37,8 @@
     return sum(each.outcome == "in-aim" for each in later) / len(later)
 
 
-def test_groups_move_to_the_model_that_has_the_work(monkeypatch):
-    """The smaller model has nearly all requests and half of the runners."""
+def test_groups_move_to_the_model_that_has_the_load(monkeypatch):
+    """The smaller model gets nearly all requests but half of the runners."""
     moved = [served_in_time(seed) for seed in (1, 2)]
     monkeypatch.setattr(rebalancing.Rebalancing, "step",
                         lambda *args, **kwargs: iter(()))
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -1,7 +1,7 @@
-"""Plays whole nodes against the model of the platform, and checks all rules.
+"""Runs nodes against a simulated platform and checks all rules.
 
-Each test takes some seconds: what happens in them in simulated time is what
-happens on an ordinary bad day, at a small size.
+Each test takes some seconds and injects faults that are common in production
+into a small deployment.
 """
 
 import asyncio
@@ -60,7 +60,7 @@
 
 
 def play(*troubles, seed=1, length_s=8.0, places=PLACES, kinds=KINDS):
-    """Plays a deployment, two data centres if nothing else is said."""
+    """Runs a deployment, by default one of two data centres."""
     deployment = deployments.Deployment(
         name="test",
         lead_s=9,
@@ -76,7 +76,7 @@
     return {"kind": kind, "at_s": at_s, **fields}
 
 
-def test_calm_time_serves_nearly_all_in_time():
+def test_nearly_all_requests_are_in_time_without_faults():
     outcome = play()
     assert not outcome.violations
     assert outcome.share("in-aim") > 0.97
@@ -125,25 +125,25 @@
         trouble("node_kill", 2.2)
     ], 0.5),
 ])
-def test_no_rule_is_broken_whatever_happens(troubles, least):
+def test_no_rule_is_broken_under_faults(troubles, least):
     outcome = play(*troubles)
     assert not outcome.violations
     assert outcome.earned > least
 
 
-def test_keys_taken_away_while_the_store_is_silent_stop_working():
-    # The operator takes keys away just before no node can read the store any
-    # more. Each node must stop trusting keys in time by itself.
+def test_keys_revoked_while_the_store_is_silent_stop_working():
+    # Keys are revoked just before the store becomes unreachable for all nodes.
+    # Each node must stop trusting keys in time by itself.
     outcome = play(trouble("revoke", 1.99, count=3),
                    trouble("store_silent", 2.0, for_s=9),
                    length_s=10)
     assert not outcome.violations
 
 
-def test_service_is_back_at_once_when_the_store_is():
+def test_service_recovers_at_once_when_the_store_does():
     # While the store is silent keys can't be confirmed, and requests are
-    # refused. Once it answers, one call confirms them: no node may wait for a
-    # feed that has no news to come to its end.
+    # refused. Once it answers, one call confirms them: no node may wait for the
+    # end of a feed call without changes.
     outcome = play(trouble("store_silent", 1.0, for_s=8), length_s=14)
     assert not outcome.violations
     after = [
@@ -154,7 +154,7 @@
     assert served > 0.95 * len(after)
 
 
-def test_key_check_is_what_keeps_revoked_keys_out(monkeypatch):
+def test_freshness_check_keeps_revoked_keys_out(monkeypatch):
     monkeypatch.setattr(freshness.Freshness, "may_accept_keys",
                         lambda self, now_ms: True)
     outcome = play(trouble("store_silent", 1.98, for_s=9),
@@ -163,7 +163,7 @@
     assert {each.rule for each in outcome.violations} == {"CONFIG"}
 
 
-def test_limit_of_tries_is_what_keeps_requests_from_running_twice(monkeypatch):
+def test_limit_of_attempts_keeps_requests_from_running_twice(monkeypatch):
     monkeypatch.setattr(relay.retrydecision, "may_have_run",
                         lambda result: False)
     monkeypatch.setattr(
@@ -177,17 +177,17 @@
     assert {"TWICE", "REFUSED"} & {each.rule for each in outcome.violations}
 
 
-# In ten of twenty-four seeds the survivors make a slow group and new runners a
-# quick one: which runners die shifts with all that a node does.
+# In ten of twenty-four seeds the survivors form a slow group and new runners a
+# fast one. Which runners die depends on everything that a node does.
 SLOW_GROUP_SEEDS = (1, 5, 7, 8, 10, 11, 12, 14, 15, 21, 23, 24)
 MIN_CLOSED = 3
 
 
-def test_slow_groups_are_given_up_without_breaking_a_rule(monkeypatch):
-    """Members die in turn; survivors in two domains make a slow group.
+def test_slow_groups_are_replaced_without_breaking_a_rule(monkeypatch):
+    """Members die in turn; survivors in two domains form a slow group.
 
-    New runners come, and the slow group is closed for a quick one. Its callers
-    get their whole answers, and no runner is in two groups meanwhile.
+    New runners register, and the slow group is closed for a fast one. Its
+    callers get complete answers, and no runner is in two groups meanwhile.
     """
     closed = []
     close = modelorders.OrderExecutor._close
@@ -211,11 +211,10 @@
     assert len(closed) >= MIN_CLOSED
 
 
-def test_stopping_node_takes_nothing_that_it_can_not_finish():
-    # SIGTERM comes while a long stream is under way. The node must not end
-    # before it, yet each new request keeps it longer, until the process is
-    # ended by force in the middle of one. Late ones are told that they have
-    # not run.
+def test_stopping_node_accepts_nothing_that_it_cannot_finish():
+    # SIGTERM arrives during a long stream. The node must not end before the
+    # stream does, yet each new request delays the end, until the process is
+    # killed in the middle of one. Late requests are answered as not run.
     deployment = deployments.Deployment(name="test",
                                         lead_s=9,
                                         length_s=1,
@@ -285,11 +284,11 @@
 
 
 def test_revoked_keys_stay_out_when_the_store_loses_the_revocation(monkeypatch):
-    """A node that starts afterwards reads the configuration from before it."""
+    """A node that starts later reads the version before the revocation."""
     assert not _play_lost_revocation(monkeypatch).violations
 
 
-def test_word_of_peers_is_what_keeps_lost_revocations_in_force(monkeypatch):
+def test_peer_updates_keep_lost_revocations_in_force(monkeypatch):
     monkeypatch.setattr(platformreader.PlatformReader, "_is_newest",
                         lambda self, rows: self.table is not None)
     outcome = _play_lost_revocation(monkeypatch)
--- a/tests/mixes.py
+++ b/tests/mixes.py
@@ -1,11 +1,11 @@
-"""Draws mixes of troubles and plays them against whole nodes.
+"""Draws random mixes of faults and runs nodes under them in simulation.
 
 Usage: python -m tests.mixes FIRST COUNT [restored|advice]
 
-Each seed gives two to four troubles at times of their own, and a run; a seed
-that breaks a rule is printed with what broke, and gives exit code 1. With
-"restored" the store also comes back from a backup in each, with "advice"
-runners also name limits, ask for rest or say that they leave.
+Each seed gives a run with two to four faults at random times. Seeds whose run
+breaks a rule are printed with the violations, and the exit code is then 1. With
+"restored", each run also restores the store from a backup; with "advice",
+runners also advertise rate limits, ask for rest or announce that they leave.
 """
 
 import random
@@ -14,8 +14,8 @@
 from cardamommill.experiment import deployments, world
 from tests.experiment import test_world
 
-# What each kind of trouble may be: the longest that callers bear, and enough
-# of it to matter in a deployment of two data centres.
+# Fields of each kind of fault: the longest that callers tolerate, and severe
+# enough to matter in a deployment of two data centres.
 KINDS = {
     "runners_dark": {
         "count": 2
@@ -78,7 +78,7 @@
     },
 }
 
-# What runners may ask of their callers, and how much of it.
+# Kinds of flow control by runners, each with the range of its factor.
 FLOW_CONTROL = {
     "heads_limited": (0.5, 4.0),
     "heads_rest": (0.5, 4.0),
@@ -89,7 +89,7 @@
 
 
 def draw(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed."""
+    """Returns the faults of a seed."""
     rng = random.Random(seed)
     drawn = []
     for _ in range(rng.randint(2, 4)):
@@ -100,7 +100,7 @@
 
 
 def draw_with_restore(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed, and a restore of the store among them."""
+    """Returns the faults of a seed and a restore of the store."""
     rng = random.Random(seed)
     return draw(seed) + [
         test_world.trouble("store_restored",
@@ -111,7 +111,7 @@
 
 
 def draw_with_flow_control(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed, and runners that ask for less."""
+    """Returns the faults of a seed and two kinds of flow control."""
     rng = random.Random(seed)
     asked = rng.sample(sorted(FLOW_CONTROL), 2)
     return draw(seed) + [
@@ -132,12 +132,12 @@
 
 
 def play(seed: int, kind: str = "") -> world.Outcome:
-    """Plays the mix of a seed, one of a kind in `MIXES`."""
+    """Runs the mix of a seed; `kind` is a key of `MIXES`."""
     return test_world.play(*MIXES[kind](seed), seed=seed)
 
 
 def main(first: int, count: int, mix: str = "") -> int:
-    """Plays seeds in turn; returns the exit code."""
+    """Runs the mixes of consecutive seeds; returns the exit code."""
     known = deployments.Trouble.model_fields["kind"].annotation
     assert set(KINDS) <= set(known.__args__)
     broken = 0
