--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -19,7 +19,7 @@
     return test_world.play(places={"a": nodes, "b": nodes}, length_s=length_s)
 
 
-def test_updates_of_a_data_centre_reach_all_nodes_of_the_other(monkeypatch):
+def test_news_of_one_data_centre_reaches_all_nodes_of_the_other(monkeypatch):
     """A planner informs two nodes of the other one, and these the rest.
 
     With the runner list alone, a new group gets no requests for seconds.
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("cut", [2, 4])
-def test_node_whose_source_is_cut_off_asks_a_newer_peer(monkeypatch, cut):
+def test_node_whose_source_is_cut_off_asks_who_knows_more(monkeypatch, cut):
     """Keys are revoked just after readers of a data centre lost the store.
 
     Other nodes know at once and report it with each heartbeat. A reader that
@@ -308,7 +308,7 @@
     assert max(found) < entrysettings.Bounds().drain_ms
 
 
-def test_followers_stay_with_readers_of_an_unchanged_list(monkeypatch):
+def test_followers_stay_with_sound_readers_of_a_list_without_news(monkeypatch):
     """An unchanged list becomes as old as the long poll that waits for it.
 
     If readers let it reach the age at which followers switch their source, each
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -125,13 +125,13 @@
         trouble("node_kill", 2.2)
     ], 0.5),
 ])
-def test_no_rule_is_broken_under_faults(troubles, least):
+def test_no_rule_is_broken_whatever_happens(troubles, least):
     outcome = play(*troubles)
     assert not outcome.violations
     assert outcome.earned > least
 
 
-def test_keys_revoked_while_the_store_is_silent_stop_working():
+def test_keys_taken_away_while_the_store_is_silent_stop_working():
     # Keys are revoked just before the store becomes unreachable for all nodes.
     # Each node must stop trusting keys in time by itself.
     outcome = play(trouble("revoke", 1.99, count=3),
@@ -154,7 +154,7 @@
     assert served > 0.95 * len(after)
 
 
-def test_freshness_check_keeps_revoked_keys_out(monkeypatch):
+def test_key_check_is_what_keeps_revoked_keys_out(monkeypatch):
     monkeypatch.setattr(freshness.Freshness, "may_accept_keys",
                         lambda self, now_ms: True)
     outcome = play(trouble("store_silent", 1.98, for_s=9),
@@ -163,7 +163,7 @@
     assert {each.rule for each in outcome.violations} == {"CONFIG"}
 
 
-def test_limit_of_attempts_keeps_requests_from_running_twice(monkeypatch):
+def test_limit_of_tries_is_what_keeps_requests_from_running_twice(monkeypatch):
     monkeypatch.setattr(relay.retrydecision, "may_have_run",
                         lambda result: False)
     monkeypatch.setattr(
@@ -183,7 +183,7 @@
 MIN_CLOSED = 3
 
 
-def test_slow_groups_are_replaced_without_breaking_a_rule(monkeypatch):
+def test_slow_groups_are_given_up_without_breaking_a_rule(monkeypatch):
     """Members die in turn; survivors in two domains form a slow group.
 
     New runners register, and the slow group is closed for a fast one. Its
@@ -211,7 +211,7 @@
     assert len(closed) >= MIN_CLOSED
 
 
-def test_stopping_node_accepts_nothing_that_it_cannot_finish():
+def test_stopping_node_takes_nothing_that_it_can_not_finish():
     # SIGTERM arrives during a long stream. The node must not end before the
     # stream does, yet each new request delays the end, until the process is
     # killed in the middle of one. Late requests are answered as not run.
