--- a/cardamommill/experiment/oracle.py
+++ b/cardamommill/experiment/oracle.py
@@ -1,4 +1,4 @@
-"""Judges a run by what clients, runners and the operator have seen."""
+"""Test oracle: checks rules on what clients, runners and operator observe."""
 
 import collections
 import dataclasses
@@ -7,14 +7,14 @@
 
 LOAD_WINDOW_MS = 5000.0
 REPEAT_WINDOW_MS = 10_000.0
-# A runner with a rate limit gets at most this much more than it allows, plus
-# some requests, in a window.
+# Within a window, a runner with a rate limit may receive RATE_OVERAGE times as
+# many requests as it allows, plus RATE_EXTRA.
 RATE_WINDOW_MS = 4000.0
 RATE_OVERAGE = 1.5
 RATE_EXTRA = 5
-# A machine that has read an answer heeds it after this.
-HEEDED_MS = 500.0
-# A runner that asked a machine for rest gets at most this many more from it.
+# Time that a machine has to act on an answer that it received.
+REACTION_MS = 500.0
+# Requests that a machine may still send to a runner within a rest period.
 REST_EXTRA = 2
 
 
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """A client attempt as its client knows it."""
+    """A client's attempt as it was sent."""
 
     at_ms: float
     method: str
@@ -44,28 +44,28 @@
 
 @dataclasses.dataclass(slots=True)
 class RateLimit:
-    """A limit that a runner names.
+    """A rate limit that a runner advertises.
 
     Attributes:
-        per_s: Requests a second from all machines.
-        since_ms: When it was first named.
-        told_ms: When each machine was first told.
-        arrivals_ms: When requests of machines that were told came.
+        per_s: Requests per second from all machines together.
+        since_ms: When it was first advertised.
+        informed_ms: When each machine first received it.
+        arrivals_ms: Arrival times of requests from informed machines.
     """
 
     per_s: float
     since_ms: float
-    told_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    informed_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     arrivals_ms: list[float] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
-class Rest:
-    """A time in which a runner wants nothing from a machine.
+class RestPeriod:
+    """A period during which a runner asked a machine to send no requests.
 
     Attributes:
-        arrived: Requests that came all the same, later than the machine could
-            have been on its way with them.
+        arrived: Requests that came nevertheless, those excluded that may have
+            been in flight when the period was announced.
     """
 
     from_ms: float
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Figures of the rules."""
+    """Thresholds of the rules."""
 
     loads_per_s: float
     load_overage: float = 1.1
@@ -88,7 +88,7 @@
 
 
 class Oracle:
-    """Holds what was told to whom, and what ran where."""
+    """Records who was informed of what and what ran where; checks rules."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -101,35 +101,38 @@
                          set[str]] = collections.defaultdict(set)
         self.revoked_ms: dict[str, float] = {}
         self.loads_ms: list[float] = []
-        self._firsts: dict[str, list[float]] = collections.defaultdict(list)
-        self._repeats: dict[str, list[float]] = collections.defaultdict(list)
+        self._first_sends_ms: dict[str,
+                                   list[float]] = collections.defaultdict(list)
+        self._repeats_ms: dict[str, list[float]] = collections.defaultdict(list)
         self._rate_limits: dict[str, RateLimit] = {}
         # By runner and machine.
         self._rests: dict[tuple[str, str],
-                          list[Rest]] = collections.defaultdict(list)
+                          list[RestPeriod]] = collections.defaultdict(list)
         # By runner and machine.
-        self._leaving_told_ms: dict[tuple[str, str], float] = {}
-        # Loads count only while the platform's store is well.
+        self._leaving_informed_ms: dict[tuple[str, str], float] = {}
+        # Loads are checked only while the platform's store is available.
         self.counts_loads = True
 
     def broken(self, rule: str, text: str) -> None:
-        """Notes a broken rule."""
+        """Records a rule violation."""
         self.violations.append(Violation(rule, text, clock.now_ms()))
 
-    def client_sends(self, attempt: str, sent: Sent) -> None:
-        """Notes a client attempt."""
+    def record_send(self, attempt: str, sent: Sent) -> None:
+        """Records an attempt that a client sends."""
         self.sent[attempt] = sent
-        self._firsts[sent.service].append(sent.at_ms)
+        self._first_sends_ms[sent.service].append(sent.at_ms)
 
-    def arrives(self, attempt: str, service: str, runner: str, tenant: str,
-                method: str, target: str, body: bytes) -> None:
-        """Notes a request at a runner."""
+    def record_arrival(self, attempt: str, service: str, runner: str,
+                       tenant: str, method: str, target: str,
+                       body: bytes) -> None:
+        """Records a request that reaches a runner, and checks it."""
         sent = self.sent.get(attempt)
         if sent is None:
-            self.broken("UNASKED", f"{attempt} at {runner}: nobody sent it")
+            self.broken("UNASKED", f"{attempt} at {runner}: no client sent it")
             return
         if (method, target, body) != (sent.method, sent.target, sent.body):
-            self.broken("UNASKED", f"{attempt} at {runner}: changed on its way")
+            self.broken("UNASKED",
+                        f"{attempt} at {runner}: modified in transit")
         if tenant != sent.tenant:
             self.broken("UNASKED", f"{attempt} at {runner}: tenant {tenant!r}")
         if service != sent.service:
@@ -139,24 +142,24 @@
         self._check_leaving(attempt, runner)
         self.arrivals[attempt] += 1
         if self.arrivals[attempt] > 1:
-            self._repeats[service].append(clock.now_ms())
+            self._repeats_ms[service].append(clock.now_ms())
             self._check_budget(service)
 
     def _check_budget(self, service: str) -> None:
         now_ms = clock.now_ms()
         since_ms = now_ms - REPEAT_WINDOW_MS
-        repeats = sum(each > since_ms for each in self._repeats[service])
+        repeats = sum(each > since_ms for each in self._repeats_ms[service])
         firsts = max(
             sum(since_ms - shift < each <= now_ms - shift
-                for each in self._firsts[service])
+                for each in self._first_sends_ms[service])
             for shift in (0.0, REPEAT_WINDOW_MS / 2, REPEAT_WINDOW_MS))
         limits = self._limits
         if repeats > limits.retry_ratio * firsts + limits.retry_slack:
-            self.broken("BUDGET", f"{service}: {repeats} repeats")
+            self.broken("BUDGET", f"{service}: {repeats} repeated requests")
 
-    def names_limit(self, attempt: str, runner: str,
-                    per_s: float | None) -> None:
-        """Notes what a runner's answer says of its rate limit."""
+    def record_rate_limit(self, attempt: str, runner: str,
+                          per_s: float | None) -> None:
+        """Records the rate limit in a runner's answer; None if it has none."""
         if per_s is None:
             self._rate_limits.pop(runner, None)
             return
@@ -165,43 +168,45 @@
         limit.per_s = per_s
         sent = self.sent.get(attempt)
         if sent is not None:
-            limit.told_ms.setdefault(sent.machine, now_ms)
+            limit.informed_ms.setdefault(sent.machine, now_ms)
 
-    def tells_leaving(self, attempt: str, runner: str) -> None:
-        """Notes an answer that says that its runner leaves."""
+    def record_leaving(self, attempt: str, runner: str) -> None:
+        """Records an answer that says that its runner is leaving."""
         machine = self.sent[attempt].machine
-        self._leaving_told_ms.setdefault((runner, machine), clock.now_ms())
+        self._leaving_informed_ms.setdefault((runner, machine), clock.now_ms())
 
     def _check_leaving(self, attempt: str, runner: str) -> None:
         sent = self.sent[attempt]
-        told_ms = self._leaving_told_ms.get((runner, sent.machine))
-        if (told_ms is not None and
-                sent.at_ms > told_ms + self._limits.drain_ms):
+        informed_ms = self._leaving_informed_ms.get((runner, sent.machine))
+        if (informed_ms is not None and
+                sent.at_ms > informed_ms + self._limits.drain_ms):
             self.broken(
-                "DRAIN", f"{attempt} at {runner}, which had told "
+                "DRAIN", f"{attempt} at {runner}, which had informed "
                 f"{sent.machine} that it leaves")
 
-    def machine_restarted(self, machine: str) -> None:
-        """Notes a restart of a machine, which forgets what it read."""
-        self.machine_cut(machine)
-        for told in [each for each in self._leaving_told_ms if machine in each]:
-            del self._leaving_told_ms[told]
+    def record_restart(self, machine: str) -> None:
+        """Records a restart of a machine, which loses what it had received."""
+        self.record_partition(machine)
+        for told in [
+                each for each in self._leaving_informed_ms if machine in each
+        ]:
+            del self._leaving_informed_ms[told]
 
-    def machine_cut(self, machine: str) -> None:
-        """Notes a cut of a machine, which excuses what others don't tell it."""
+    def record_partition(self, machine: str) -> None:
+        """Records a partition; the machine need not know what it missed."""
         for limit in self._rate_limits.values():
-            limit.told_ms.pop(machine, None)
+            limit.informed_ms.pop(machine, None)
         for (_, resting), rests in self._rests.items():
             if resting == machine:
                 rests.clear()
 
-    def asks_for_rest(self, attempt: str, runner: str, rest_ms: float) -> None:
-        """Notes a refusal that says how long its runner wants nothing."""
+    def record_rest_request(self, attempt: str, runner: str,
+                            rest_ms: float) -> None:
+        """Records a refusal that asks for no requests for `rest_ms`."""
         now_ms = clock.now_ms()
         machine = self.sent[attempt].machine
-        self._rests[(runner,
-                     machine)].append(Rest(now_ms + HEEDED_MS,
-                                           now_ms + rest_ms))
+        self._rests[(runner, machine)].append(
+            RestPeriod(now_ms + REACTION_MS, now_ms + rest_ms))
 
     def _check_rests(self, machine: str, runner: str) -> None:
         now_ms = clock.now_ms()
@@ -212,13 +217,13 @@
             if rest.arrived > REST_EXTRA:
                 self.broken(
                     "BUDGET", f"{runner} asked {machine} for rest: "
-                    f"{rest.arrived} requests")
+                    f"got {rest.arrived} requests")
 
     def _check_rate(self, machine: str, runner: str) -> None:
         limit = self._rate_limits.get(runner)
         now_ms = clock.now_ms()
         if (limit is None or
-                limit.told_ms.get(machine, now_ms) + HEEDED_MS > now_ms):
+                limit.informed_ms.get(machine, now_ms) + REACTION_MS > now_ms):
             return
         limit.arrivals_ms.append(now_ms)
         recent = sum(
@@ -227,10 +232,11 @@
                    RATE_EXTRA)
         if (recent > allowed and
                 now_ms - limit.since_ms > self._limits.contact_ms):
-            self.broken("LIMIT", f"{runner}: {recent} requests in a window")
+            self.broken("LIMIT",
+                        f"{runner}: {recent} requests in a rate window")
 
-    def begins(self, attempt: str, runner: str) -> None:
-        """Notes that a runner begins to work on a request."""
+    def record_execution(self, attempt: str, runner: str) -> None:
+        """Records that a runner starts to execute a request."""
         sent = self.sent.get(attempt)
         runs = self.runs[attempt]
         runs.append(runner)
@@ -239,34 +245,37 @@
         if not sent.repeatable and len(runs) > 1:
             self.broken("TWICE", f"{attempt} at {', '.join(runs)}")
         if attempt in self.refused and not sent.repeatable:
-            self.broken("REFUSED",
-                        f"{attempt} ran after {self.refused[attempt]}")
+            self.broken(
+                "REFUSED", f"{attempt} ran after its client got status "
+                f"{self.refused[attempt]}")
         revoked_ms = self.revoked_ms.get(sent.key)
         if (revoked_ms is not None and
                 sent.at_ms > revoked_ms + self._limits.revoke_ms):
             self.broken("CONFIG", f"{attempt} ran with a revoked key")
 
-    def begins_in_group(self, attempt: str, key: model.GroupKey,
-                        members: tuple[str, ...], size: int) -> None:
-        """Checks the group in which a request begins to run."""
+    def check_group(self, attempt: str, key: model.GroupKey,
+                    members: tuple[str, ...], size: int) -> None:
+        """Checks the group in which a request starts to run."""
         if len(members) != size:
-            self.broken("PARTIAL", f"{attempt} in {key} of {len(members)}")
-        never = set(members) - self.ready[(key, members)]
-        if never:
             self.broken("PARTIAL",
-                        f"{attempt} in {key}: {never} was never ready")
+                        f"{attempt} in {key} with {len(members)} members")
+        never_ready = set(members) - self.ready[(key, members)]
+        if never_ready:
+            self.broken("PARTIAL",
+                        f"{attempt} in {key}: {never_ready} was never ready")
 
-    def client_got(self, attempt: str, status: int) -> None:
-        """Notes a final answer."""
+    def record_final_status(self, attempt: str, status: int) -> None:
+        """Records the status of the answer that a client received."""
         if status not in (408, 421, 429, 503):
             return
         self.refused[attempt] = status
         sent = self.sent[attempt]
         if not sent.repeatable and self.runs.get(attempt):
-            self.broken("REFUSED", f"{attempt} had run and got {status}")
+            self.broken("REFUSED",
+                        f"{attempt} had run but its client got {status}")
 
-    def load_begins(self) -> None:
-        """Notes a load from the weight store."""
+    def record_load(self) -> None:
+        """Records the start of a load from the weight store."""
         if not self.counts_loads:
             return
         now_ms = clock.now_ms()
@@ -277,4 +286,4 @@
             limits.loads_per_s * LOAD_WINDOW_MS / 1000 * limits.load_overage +
             limits.load_extra)
         if recent > allowed:
-            self.broken("CEILING", f"{recent} loads in a window")
+            self.broken("CEILING", f"{recent} loads in a load window")
--- a/tests/experiment/test_reporting.py
+++ b/tests/experiment/test_reporting.py
@@ -1,4 +1,4 @@
-"""Plays data centres that tell each other their loads and news as a whole."""
+"""Tests loads and updates that data centres report to each other."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from tests.experiment import test_world
 
 # A datagram with its headers, without loads.
-LIGHT_BYTES = 200
+DATAGRAM_OVERHEAD_BYTES = 200
 
 
 def play(nodes=12, length_s=4.0):
@@ -20,9 +20,9 @@
 
 
 def test_news_of_one_data_centre_reaches_all_nodes_of_the_other(monkeypatch):
-    """A planner tells two nodes of the other one, and these the rest.
+    """A planner informs two nodes of the other one, and these the rest.
 
-    Known by the list alone, a new group gets no requests for seconds.
+    With the runner list alone, a new group gets no requests for seconds.
     """
     nodes, known = [], []
     begin, opened = entrynode.EntryNode.__init__, entrynode.EntryNode._on_opened
@@ -49,7 +49,7 @@
 
 
 def test_loads_of_the_other_data_centre_are_known_to_all_nodes(monkeypatch):
-    """Told by each node to each, they came so late that they said little."""
+    """Loads sent from each node to every other arrive too late to be of use."""
     seen = {}
     look = dispatcher.Dispatcher.update_from_peers
 
@@ -66,17 +66,17 @@
 
 
 def test_bytes_between_data_centres_follow_reports_not_pairs(monkeypatch):
-    """Twice the nodes are four times the pairs; reporters stay as many."""
+    """Twice the nodes make four times the pairs, but no more reporters."""
 
     def far_bytes_per_s(nodes):
         sent = []
-        tell = nodelink.NodeLink._send
+        send = nodelink.NodeLink._send
 
         def counted(self, told, now_ms):
-            tell(self, told, now_ms)
+            send(self, told, now_ms)
             started.append(now_ms)
             if now_ms - started[0] > 6000:
-                sent.extend(LIGHT_BYTES for peer, _ in told
+                sent.extend(DATAGRAM_OVERHEAD_BYTES for peer, _ in told
                             if not peer.is_near and self._peers.update_scope(
                                 peer) is not peers.UpdateScope.REPORTER)
 
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -1,7 +1,7 @@
-"""Plays whole nodes against the model of the platform, and checks all rules.
+"""Runs nodes against a simulated platform and checks all rules.
 
-Each test takes some seconds: what happens in them in simulated time is what
-happens on an ordinary bad day, at a small size.
+Each test takes some seconds and injects faults that are common in production
+into a small deployment.
 """
 
 import asyncio
@@ -60,7 +60,7 @@
 
 
 def play(*troubles, seed=1, length_s=8.0, places=PLACES, kinds=KINDS):
-    """Plays a deployment, two data centres if nothing else is said."""
+    """Runs a deployment, by default one of two data centres."""
     deployment = deployments.Deployment(
         name="test",
         lead_s=9,
@@ -76,7 +76,7 @@
     return {"kind": kind, "at_s": at_s, **fields}
 
 
-def test_calm_time_serves_nearly_all_in_time():
+def test_nearly_all_requests_are_in_time_without_faults():
     outcome = play()
     assert not outcome.violations
     assert outcome.share("in-aim") > 0.97
@@ -132,18 +132,18 @@
 
 
 def test_keys_taken_away_while_the_store_is_silent_stop_working():
-    # The operator takes keys away just before no node can read the store any
-    # more. Each node must stop trusting keys in time by itself.
+    # Keys are revoked just before the store becomes unreachable for all nodes.
+    # Each node must stop trusting keys in time by itself.
     outcome = play(trouble("revoke", 1.99, count=3),
                    trouble("store_silent", 2.0, for_s=9),
                    length_s=10)
     assert not outcome.violations
 
 
-def test_service_is_back_at_once_when_the_store_is():
+def test_service_recovers_at_once_when_the_store_does():
     # While the store is silent keys can't be confirmed, and requests are
-    # refused. Once it answers, one call confirms them: no node may wait for a
-    # feed that has no news to come to its end.
+    # refused. Once it answers, one call confirms them: no node may wait for the
+    # end of a feed call without changes.
     outcome = play(trouble("store_silent", 1.0, for_s=8), length_s=14)
     assert not outcome.violations
     after = [
@@ -177,26 +177,26 @@
     assert {"TWICE", "REFUSED"} & {each.rule for each in outcome.violations}
 
 
-# In ten of twenty-four seeds the survivors make a slow group and new runners a
-# quick one: which runners die shifts with all that a node does.
+# In ten of twenty-four seeds the survivors form a slow group and new runners a
+# fast one. Which runners die depends on everything that a node does.
 SLOW_GROUP_SEEDS = (1, 5, 7, 8, 10, 11, 12, 14, 15, 21, 23, 24)
-LEAST_CLOSED = 3
+MIN_CLOSED = 3
 
 
 def test_slow_groups_are_given_up_without_breaking_a_rule(monkeypatch):
-    """Members die in turn; survivors in two domains make a slow group.
+    """Members die in turn; survivors in two domains form a slow group.
 
-    New runners come, and the slow group is closed for a quick one. Its callers
-    get their whole answers, and no runner is in two groups meanwhile.
+    New runners register, and the slow group is closed for a fast one. Its
+    callers get complete answers, and no runner is in two groups meanwhile.
     """
     closed = []
-    close = modelorders.Orders._close
+    close = modelorders.OrderExecutor._close
 
     def noted(orders, order):
         closed.append(order["group"])
         return close(orders, order)
 
-    monkeypatch.setattr(modelorders.Orders, "_close", noted)
+    monkeypatch.setattr(modelorders.OrderExecutor, "_close", noted)
     deaths = [
         trouble("runners_dark", at_s=1.0 + 0.8 * number, count=2, place="a")
         for number in range(5)
@@ -208,14 +208,13 @@
                        length_s=10.0)
         assert not outcome.violations, seed
         assert outcome.share("in-aim") > 0.9, seed
-    assert len(closed) >= LEAST_CLOSED
+    assert len(closed) >= MIN_CLOSED
 
 
 def test_stopping_node_takes_nothing_that_it_can_not_finish():
-    # SIGTERM comes while a long stream is under way. The node must not end
-    # before it, yet each new request keeps it longer, until the process is
-    # ended by force in the middle of one. Late ones are told that they have
-    # not run.
+    # SIGTERM arrives during a long stream. The node must not end before the
+    # stream does, yet each new request delays the end, until the process is
+    # killed in the middle of one. Late requests are answered as not run.
     deployment = deployments.Deployment(name="test",
                                         lead_s=9,
                                         length_s=1,
@@ -224,40 +223,40 @@
                                         kinds=KINDS)
     status = {}
 
-    async def script(playing):
-        await playing.begin()
+    async def script(simulation):
+        await simulation.start()
         await asyncio.sleep(9)
-        playing.spawn("clients-a", ask(playing, "long", 700, status))
+        simulation.spawn("clients-a", ask(simulation, "long", 700, status))
         await asyncio.sleep(0.5)
-        machine = playing.machines["node-a-1"]
-        playing.loop.signal_host(machine.host, signal.SIGTERM)
+        machine = simulation.machines["node-a-1"]
+        simulation.loop.signal_host(machine.host, signal.SIGTERM)
         await asyncio.sleep(1.0)
-        await ask(playing, "early", 7, status)
+        await ask(simulation, "early", 7, status)
         await asyncio.sleep(2.0)
-        await ask(playing, "late", 7, status)
+        await ask(simulation, "late", 7, status)
         await asyncio.sleep(4.0)
 
-    async def ask(playing, name, tokens, status):
+    async def ask(simulation, name, tokens, status):
         request = fetching.request_bytes(
             "POST", f"/draft/{name}",
             [("Host", "model.example"), (wirenames.ATTEMPT_ID, name),
              (wirenames.DEADLINE_MS, "8000"), (wirenames.MODEL, "large"),
              (wirenames.TOKEN_COUNTS, f"100,{tokens}"),
              ("Authorization", "Bearer key0")], b"x")
-        playing.judge.client_sends(
+        simulation.run_oracle.record_send(
             name,
             oracle.Sent(0, "POST", f"/draft/{name}", b"x", "key0", "tenant0",
                         "engine", True))
         with upstream.Pool() as pool:
             answer = await fetching.fetch(
-                pool, (playing.machines["node-a-1"].host, world.FRONT_PORT),
+                pool, (simulation.machines["node-a-1"].host, world.FRONT_PORT),
                 request, 8000)
         status[name] = (answer.head.status, answer.ending)
 
     with virtualloop.running(1) as loop:
-        playing = world.World(deployment, 1, loop)
-        loop.run_until_complete(script(playing))
-        assert not playing.judge.violations
+        simulation = world.World(deployment, 1, loop)
+        loop.run_until_complete(script(simulation))
+        assert not simulation.run_oracle.violations
     assert status["long"] == (200, upstream.Ending.COMPLETE)
     assert status["early"] == (200, upstream.Ending.COMPLETE)
     assert status["late"][0] == 503
@@ -276,7 +275,7 @@
 
 
 def _play_lost_revocation(monkeypatch):
-    monkeypatch.setattr(troubles, "OPERATOR_RETURNS_S", 60.0)
+    monkeypatch.setattr(troubles, "MAX_REPUBLISH_DELAY_S", 60.0)
     return play(trouble("revoke", 1.9, count=6),
                 trouble("store_restored", 2.0, for_s=0.3, factor=2),
                 trouble("node_kill", 2.6, place="a"),
@@ -285,11 +284,11 @@
 
 
 def test_revoked_keys_stay_out_when_the_store_loses_the_revocation(monkeypatch):
-    """A node that starts afterwards reads the configuration from before it."""
+    """A node that starts later reads the version before the revocation."""
     assert not _play_lost_revocation(monkeypatch).violations
 
 
-def test_word_of_peers_is_what_keeps_lost_revocations_in_force(monkeypatch):
+def test_peer_updates_keep_lost_revocations_in_force(monkeypatch):
     monkeypatch.setattr(platformreader.PlatformReader, "_is_newest",
                         lambda self, rows: self.table is not None)
     outcome = _play_lost_revocation(monkeypatch)
--- a/tests/mixes.py
+++ b/tests/mixes.py
@@ -1,11 +1,11 @@
-"""Draws mixes of troubles and plays them against whole nodes.
+"""Draws random mixes of faults and runs nodes under them in simulation.
 
 Usage: python -m tests.mixes FIRST COUNT [restored|advice]
 
-Each seed gives two to four troubles at times of their own, and a run; a seed
-that breaks a rule is printed with what broke, and gives exit code 1. With
-"restored" the store also comes back from a backup in each, with "advice"
-runners also name limits, ask for rest or say that they leave.
+Each seed gives a run with two to four faults at random times. Seeds whose run
+breaks a rule are printed with the violations, and the exit code is then 1. With
+"restored", each run also restores the store from a backup; with "advice",
+runners also advertise rate limits, ask for rest or announce that they leave.
 """
 
 import random
@@ -14,8 +14,8 @@
 from cardamommill.experiment import deployments, world
 from tests.experiment import test_world
 
-# What each kind of trouble may be: the longest that callers bear, and enough
-# of it to matter in a deployment of two data centres.
+# Fields of each kind of fault: the longest that callers tolerate, and severe
+# enough to matter in a deployment of two data centres.
 KINDS = {
     "runners_dark": {
         "count": 2
@@ -78,8 +78,8 @@
     },
 }
 
-# What runners may ask of their callers, and how much of it.
-ADVICE = {
+# Kinds of flow control by runners, each with the range of its factor.
+FLOW_CONTROL = {
     "heads_limited": (0.5, 4.0),
     "heads_rest": (0.5, 4.0),
     "heads_leave": (1.0, 1.0),
@@ -89,51 +89,55 @@
 
 
 def draw(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed."""
-    chance = random.Random(seed)
+    """Returns the faults of a seed."""
+    rng = random.Random(seed)
     drawn = []
-    for _ in range(chance.randint(2, 4)):
-        kind = chance.choice(sorted(KINDS))
-        at_s = round(chance.uniform(0.5, 5.0), 2)
+    for _ in range(rng.randint(2, 4)):
+        kind = rng.choice(sorted(KINDS))
+        at_s = round(rng.uniform(0.5, 5.0), 2)
         drawn.append(test_world.trouble(kind, at_s=at_s, **KINDS[kind]))
     return drawn
 
 
-def draw_restore(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed, and a restore of the store among them."""
-    chance = random.Random(seed)
+def draw_with_restore(seed: int) -> list[dict[str, object]]:
+    """Returns the faults of a seed and a restore of the store."""
+    rng = random.Random(seed)
     return draw(seed) + [
         test_world.trouble("store_restored",
-                           at_s=round(chance.uniform(1.0, 4.0), 2),
-                           for_s=round(chance.uniform(0.0, 2.0), 2),
-                           factor=round(chance.uniform(0.0, 6.0), 2))
+                           at_s=round(rng.uniform(1.0, 4.0), 2),
+                           for_s=round(rng.uniform(0.0, 2.0), 2),
+                           factor=round(rng.uniform(0.0, 6.0), 2))
     ]
 
 
-def draw_advice(seed: int) -> list[dict[str, object]]:
-    """Returns the troubles of a seed, and runners that ask for less."""
-    chance = random.Random(seed)
-    asked = chance.sample(sorted(ADVICE), 2)
+def draw_with_flow_control(seed: int) -> list[dict[str, object]]:
+    """Returns the faults of a seed and two kinds of flow control."""
+    rng = random.Random(seed)
+    asked = rng.sample(sorted(FLOW_CONTROL), 2)
     return draw(seed) + [
         test_world.trouble(kind,
-                           at_s=round(chance.uniform(0.5, 4.0), 2),
-                           count=chance.randint(1, 2),
-                           for_s=round(chance.uniform(1.0, 6.0), 2),
-                           factor=round(chance.uniform(*ADVICE[kind]), 2))
+                           at_s=round(rng.uniform(0.5, 4.0), 2),
+                           count=rng.randint(1, 2),
+                           for_s=round(rng.uniform(1.0, 6.0), 2),
+                           factor=round(rng.uniform(*FLOW_CONTROL[kind]), 2))
         for kind in asked
     ]
 
 
-MIXES = {"": draw, "restored": draw_restore, "advice": draw_advice}
+MIXES = {
+    "": draw,
+    "restored": draw_with_restore,
+    "advice": draw_with_flow_control
+}
 
 
 def play(seed: int, kind: str = "") -> world.Outcome:
-    """Plays the mix of a seed, one of a kind in `MIXES`."""
+    """Runs the mix of a seed; `kind` is a key of `MIXES`."""
     return test_world.play(*MIXES[kind](seed), seed=seed)
 
 
 def main(first: int, count: int, mix: str = "") -> int:
-    """Plays seeds in turn; returns the exit code."""
+    """Runs the mixes of consecutive seeds; returns the exit code."""
     known = deployments.Trouble.model_fields["kind"].annotation
     assert set(KINDS) <= set(known.__args__)
     broken = 0
