--- a/cardamommill/experiment/modelclients.py
+++ b/cardamommill/experiment/modelclients.py
@@ -110,7 +110,8 @@
     def on_end(self, ending: upstream.Ending, reason: str) -> None:
         if ending is upstream.Ending.NOT_HTTP:
             # A violation, not just a failure: a complete answer within a
-            # stream would otherwise be taken for a runner that broke off.
+            # stream would otherwise look like a runner that closed its
+            # connection.
             self._run_oracle.broken("MIXED", f"{self._attempt}: {reason}")
         if not self.done.done():
             self.done.set_result(ending.value if ending is
@@ -183,7 +184,7 @@
     async def _attempt(self, kind: Kind, target: str, prompt: int, answer: int,
                        tenant: str, key: str, began_ms: float, left_ms: float,
                        attempt: str, result: Result) -> float | None:
-        """Makes one attempt; returns the delay before a retry, or None."""
+        """Makes one attempt; returns the delay in ms of a retry, or None."""
         body = b"" if kind.method == "GET" else b"x" * 200
         headers = [("Host", kind.host), (wirenames.ATTEMPT_ID, attempt),
                    (wirenames.DEADLINE_MS, str(int(left_ms))),
@@ -251,7 +252,8 @@
             if receiver.next_id - 1 != -(-answer // stride):
                 self._run_oracle.broken(
                     "ORDER",
-                    f"{attempt}: ended after event {receiver.next_id - 1}")
+                    f"{attempt}: wrong number of events: {receiver.next_id - 1}"
+                )
         elif bytes(receiver.body) != rightanswers.plain_body(target):
             self._run_oracle.broken(
                 "MIXED", f"{attempt}: body differs from the expected one")
--- a/cardamommill/experiment/modelfleet.py
+++ b/cardamommill/experiment/modelfleet.py
@@ -34,7 +34,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """State shared by all runners of a run."""
+    """State shared by all runners of a run.
+
+    Attributes:
+        loading: The number of model loads in progress.
+        is_before_traffic: Whether no runner has received a request yet.
+    """
 
     store: modelstore.ModelStore
     oracle: oracle.Oracle
@@ -46,7 +51,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A request that a runner is working on or has queued."""
+    """A request that a runner is working on or has queued.
+
+    Attributes:
+        to_read: The tokens still to be processed before the next event: those
+            of the prompt and, if the request resumes an answer, those of the
+            events already sent.
+        gone: Whether the node has closed the connection.
+    """
 
     request: callers.CallerRequest
     reply: replies.Reply
@@ -64,7 +76,7 @@
 
 
 class ListedRunner:
-    """A runner process: its state and what it reports of it.
+    """The state of a simulated runner, and its reports of that state.
 
     Attributes:
         pace: Slowdown; the factor by which all work takes longer.
@@ -73,11 +85,11 @@
         limit_per_s: The rate limit that it advertises, if it has one.
         late_orders_ms: If not 0, orders are not answered and are carried out
             after this delay.
-        begun: Its order count.
+        begun: The number of orders that it has begun, its order count.
         last_heartbeat_ms: When the platform last received its heartbeat.
         jobs: Its running and queued requests.
-        reregistered_ms: When it last registered with a store that had been
-            restored and may have lost that it leaves.
+        reregistered_ms: When it last registered again after a restore of the
+            store, which may have lost that the runner is leaving.
     """
 
     def __init__(self, fleet: Fleet, runner_id: str, host: str, place: str,
--- a/cardamommill/experiment/modelorders.py
+++ b/cardamommill/experiment/modelorders.py
@@ -6,6 +6,7 @@
 from cardamommill.experiment import modelfleet, modelpasses
 from cardamommill.gateway import clock, model
 
+# Time to become ready if the runner last served the same model.
 REJOIN_MS = 200.0
 # Loads before the first request take this fraction of the normal time.
 PRELOAD_TIME_RATIO = 0.1
@@ -19,7 +20,8 @@
         self._runner = runner
         self._passes = passes
         self._epoch = 0
-        self._stages: dict[str, float] = {}
+        # When each load in progress ends, by model.
+        self._load_ends: dict[str, float] = {}
 
     def execute(self, order: dict[str, Any]) -> int:
         """Starts to execute an order; returns the status of the answer."""
@@ -99,9 +101,9 @@
     async def _load(self, served: model.ServedModel) -> None:
         engine = self._runner.engine
         assert engine is not None
-        if served.name in self._stages:
+        if served.name in self._load_ends:
             await asyncio.sleep(
-                max(0.0, self._stages[served.name] - clock.now_ms()) / 1000)
+                max(0.0, self._load_ends[served.name] - clock.now_ms()) / 1000)
             return
         fleet = self._runner.fleet
         if not fleet.is_before_traffic:
@@ -110,12 +112,12 @@
         slowdown = max(1.0, fleet.loading / engine.loads_at_once)
         load_ms = served.load_ms * slowdown * (PRELOAD_TIME_RATIO if
                                                fleet.is_before_traffic else 1)
-        self._stages[served.name] = clock.now_ms() + load_ms
+        self._load_ends[served.name] = clock.now_ms() + load_ms
         try:
             await asyncio.sleep(load_ms / 1000)
         finally:
             fleet.loading -= 1
-            self._stages.pop(served.name, None)
+            self._load_ends.pop(served.name, None)
         self._runner.staged = (served.name,)
         self._runner.send_heartbeat()
 
@@ -172,7 +174,7 @@
 
     def _stage(self, order: dict[str, Any]) -> int:
         served = self._model(order["model"])
-        if served.name in self._runner.staged or served.name in self._stages:
+        if served.name in self._runner.staged or served.name in self._load_ends:
             return 200
         self._runner.begun += 1
         asyncio.get_running_loop().create_task(self._load(served))
--- a/cardamommill/experiment/modelpasses.py
+++ b/cardamommill/experiment/modelpasses.py
@@ -21,7 +21,7 @@
         self._is_running = False
 
     def take(self, job: modelfleet.Job) -> modelfleet.Job | None:
-        """Queues a request, or refuses it with an answer of not run."""
+        """Queues a request, or refuses it without executing it."""
         runner = self._runner
         engine = runner.engine
         membership = runner.membership
@@ -41,11 +41,11 @@
             int(each) for each in (
                 job.request.get(wirenames.TOKEN_COUNTS) or "").split(",")
         ]
-        last = int(job.request.get(wirenames.LAST_EVENT_ID) or 0)
+        last_id = int(job.request.get(wirenames.LAST_EVENT_ID) or 0)
         events = math.ceil(tokens[1] / engine.stride)
-        job.to_read = tokens[0] + last * engine.stride
-        job.next_id = last + 1
-        job.events_left = max(0, events - last)
+        job.to_read = tokens[0] + last_id * engine.stride
+        job.next_id = last_id + 1
+        job.events_left = max(0, events - last_id)
         runner.jobs.append(job)
         if not self._is_running:
             self._is_running = True
@@ -53,7 +53,7 @@
         return job
 
     def cut(self) -> None:
-        """Drops all requests; queued ones are answered as not run."""
+        """Drops all requests; queued ones are answered as not executed."""
         jobs, self._runner.jobs = self._runner.jobs, []
         for job in jobs:
             if job.gone:
@@ -100,15 +100,15 @@
             await asyncio.sleep(0.001)
             return
         budget = engine.chunk_tokens * engine.stride
-        read = 0.0
+        read_tokens = 0.0
         for job in running:
             job.running = True
-            part = min(job.to_read, budget - read)
-            job.to_read -= part
-            read += part
+            tokens = min(job.to_read, budget - read_tokens)
+            job.to_read -= tokens
+            read_tokens += tokens
         pass_ms = (engine.stride *
                    (engine.step_ms + len(running) * engine.per_sequence_ms) +
-                   read / engine.read_tokens_per_ms) * self._slowdown(
+                   read_tokens / engine.read_tokens_per_ms) * self._slowdown(
                        engine, served)
         await asyncio.sleep(pass_ms / 1000)
         if self._missing_member(key) or runner.is_unreachable:
--- a/cardamommill/experiment/modelrunner.py
+++ b/cardamommill/experiment/modelrunner.py
@@ -75,7 +75,9 @@
                                          request.method, request.target,
                                          request.body)
         if self.acknowledged_leaving_ms() > 2000:
-            self.fleet.oracle.broken("DRAIN", f"{attempt} at {self.id}")
+            self.fleet.oracle.broken(
+                "DRAIN",
+                f"{attempt}: received by {self.id} while it was draining")
         job = modelfleet.Job(request, reply, attempt,
                              int(request.get(wirenames.REQUEST_PRIORITY) or 5),
                              0.0, 1, 1)
--- a/cardamommill/experiment/modelstore.py
+++ b/cardamommill/experiment/modelstore.py
@@ -12,6 +12,7 @@
 
 ADDRESS = ("10.200.1.7", 8223)
 ANSWER_MS = 4.0
+# Tables that nodes may write; writes to others get status 403.
 WRITABLE_BY_SYSTEM = ("nodes", "status")
 
 
@@ -101,12 +102,12 @@
             return
         path, _, query_text = request.target.partition("?")
         query = dict(parse.parse_qsl(query_text, keep_blank_values=True))
-        calls = {
+        handlers = {
             wirenames.ROWS_GET_PATH: self._rows_get,
             wirenames.ROWS_FEED_PATH: self._rows_feed,
             wirenames.ROWS_TX_PATH: self._rows_tx,
         }
-        call = calls.get(path)
+        call = handlers.get(path)
         if call is None:
             reply.send(404, [self._era_header()], b"")
             return
@@ -141,6 +142,7 @@
         after = int(query["sinceRev"])
         until_ms = clock.now_ms() + float(query.get("waitMs", "0"))
         while True:
+            # The version was compacted away, or lost by a restore.
             if after + 1 < self.history_from or after > self.version:
                 return 410, self._stamp()
             table = query["table"]
@@ -185,6 +187,7 @@
         return base | {"value": base64.b64encode(row.value).decode()}
 
     def _stamp(self, **fields: Any) -> dict[str, Any]:
+        """Adds the version and the store's clock, which is 5000 ms ahead."""
         return fields | {
             "schemaVersion": self.version,
             "nowMs": clock.now_ms() + 5000
--- a/tests/experiment/test_failing_heads.py
+++ b/tests/experiment/test_failing_heads.py
@@ -5,7 +5,7 @@
 from tests.experiment import test_sharing, test_world
 
 FROM_S = 2.0
-# By then attempts have failed at each of them, and nodes have reported it.
+# By then attempts have failed at each faulty head, and nodes have reported it.
 KNOWN_S = 3.0
 UNTIL_S = 9.0
 STREAMS = [
@@ -16,7 +16,7 @@
 
 
 def play(kind, count, seed):
-    """Runs so many nodes that each needs the failures that others report."""
+    """Runs enough nodes that each depends on failures reported by others."""
     return test_world.play(test_world.trouble(kind,
                                               FROM_S,
                                               count=count,
--- a/tests/experiment/test_limited_runners.py
+++ b/tests/experiment/test_limited_runners.py
@@ -81,7 +81,7 @@
 @SEEDS
 @FLEETS
 def test_leaving_runner_gets_no_new_requests(places, seed):
-    """The store is not informed, and keeps its entry until it expires."""
+    """The store does not learn that it leaves; its entry stays until expiry."""
     outcome = play(test_world.trouble("heads_leave", FROM_S, count=2,
                                       for_s=7.0),
                    places=places,
