--- a/cardamommill/experiment/oracle.py
+++ b/cardamommill/experiment/oracle.py
@@ -75,7 +75,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Thresholds of the rules."""
+    """Thresholds of the rules.
+
+    Attributes:
+        loads_per_s: Loads per second that the weight store allows.
+        load_overage: Factor by which loads in a window may exceed that rate.
+        load_extra: Loads allowed in a window beyond that.
+        retry_ratio: Repeated requests allowed per first attempt.
+        retry_slack: Repeated requests allowed in a window beyond that.
+        revoke_ms: Attempts sent later than this after their key was revoked
+            must not run.
+        drain_ms: Attempts sent later than this after their machine was informed
+            that a runner leaves must not reach that runner.
+        contact_ms: Time after a rate limit is first advertised during which it
+            may be exceeded.
+    """
 
     loads_per_s: float
     load_overage: float = 1.1
@@ -149,13 +163,17 @@
         now_ms = clock.now_ms()
         since_ms = now_ms - REPEAT_WINDOW_MS
         repeats = sum(each > since_ms for each in self._repeats_ms[service])
+        # Repeats arrive later than their first attempts, so that the largest
+        # count of this and two earlier windows is taken.
         firsts = max(
             sum(since_ms - shift < each <= now_ms - shift
                 for each in self._first_sends_ms[service])
             for shift in (0.0, REPEAT_WINDOW_MS / 2, REPEAT_WINDOW_MS))
         limits = self._limits
         if repeats > limits.retry_ratio * firsts + limits.retry_slack:
-            self.broken("BUDGET", f"{service}: {repeats} repeated requests")
+            self.broken(
+                "BUDGET",
+                f"{service}: {repeats} repeated requests, more than allowed")
 
     def record_rate_limit(self, attempt: str, runner: str,
                           per_s: float | None) -> None:
@@ -193,11 +211,11 @@
             del self._leaving_informed_ms[told]
 
     def record_partition(self, machine: str) -> None:
-        """Records a partition; the machine need not know what it missed."""
+        """Records a partition, in which a machine may miss limits and rests."""
         for limit in self._rate_limits.values():
             limit.informed_ms.pop(machine, None)
-        for (_, resting), rests in self._rests.items():
-            if resting == machine:
+        for (_, asked_machine), rests in self._rests.items():
+            if asked_machine == machine:
                 rests.clear()
 
     def record_rest_request(self, attempt: str, runner: str,
@@ -216,7 +234,7 @@
             rest.arrived += 1
             if rest.arrived > REST_EXTRA:
                 self.broken(
-                    "BUDGET", f"{runner} asked {machine} for rest: "
+                    "BUDGET", f"{runner} asked {machine} for no requests: "
                     f"got {rest.arrived} requests")
 
     def _check_rate(self, machine: str, runner: str) -> None:
@@ -232,8 +250,9 @@
                    RATE_EXTRA)
         if (recent > allowed and
                 now_ms - limit.since_ms > self._limits.contact_ms):
-            self.broken("LIMIT",
-                        f"{runner}: {recent} requests in a rate window")
+            self.broken(
+                "LIMIT",
+                f"{runner}: {recent} requests in a rate window, over limit")
 
     def record_execution(self, attempt: str, runner: str) -> None:
         """Records that a runner starts to execute a request."""
@@ -261,8 +280,9 @@
                         f"{attempt} in {key} with {len(members)} members")
         never_ready = set(members) - self.ready[(key, members)]
         if never_ready:
-            self.broken("PARTIAL",
-                        f"{attempt} in {key}: {never_ready} was never ready")
+            self.broken(
+                "PARTIAL",
+                f"{attempt} in {key}: members {never_ready} never ready")
 
     def record_final_status(self, attempt: str, status: int) -> None:
         """Records the status of the answer that a client received."""
@@ -286,4 +306,5 @@
             limits.loads_per_s * LOAD_WINDOW_MS / 1000 * limits.load_overage +
             limits.load_extra)
         if recent > allowed:
-            self.broken("CEILING", f"{recent} loads in a load window")
+            self.broken("CEILING",
+                        f"{recent} loads in a load window, more than allowed")
--- a/cardamommill/experiment/page.py
+++ b/cardamommill/experiment/page.py
@@ -24,7 +24,7 @@
     """Writes the page with a table and plots of all runs.
 
     Args:
-        path: The file.
+        path: The HTML file to write.
         played: All runs, in the order in which they are shown.
     """
     parts = [
--- a/cardamommill/experiment/troubles.py
+++ b/cardamommill/experiment/troubles.py
@@ -73,14 +73,14 @@
         handler = getattr(self, f"_{trouble.kind}")
         await handler(trouble)
 
-    def _place(self, trouble: deployments.Trouble) -> str:
+    def _choose_place(self, trouble: deployments.Trouble) -> str:
         return trouble.place or self._world.rng.choice(list(
             self._world.clients))
 
     def _draw_members(
             self,
             trouble: deployments.Trouble) -> list[modelfleet.ListedRunner]:
-        place = self._place(trouble)
+        place = self._choose_place(trouble)
         found = [
             each for each in self._world.fleet.runners.values()
             if each.place == place and each.membership and
@@ -90,6 +90,7 @@
         return found[:trouble.count]
 
     async def _runners_dark(self, trouble: deployments.Trouble) -> None:
+        """Makes members unreachable; without a duration they also end."""
         for runner in self._draw_members(trouble):
             self._world.loop.network.host(runner.host).is_unreachable = True
             if not trouble.for_s:
@@ -104,7 +105,7 @@
         self._world.loop.network.host(runner.host).is_unreachable = False
 
     async def _domain_dark(self, trouble: deployments.Trouble) -> None:
-        place = self._place(trouble)
+        place = self._choose_place(trouble)
         domains = sorted({
             each.domain
             for each in self._world.fleet.runners.values()
@@ -198,7 +199,7 @@
         return [head for _, _, head in ranked[:count]]
 
     async def _new_runners(self, trouble: deployments.Trouble) -> None:
-        place = self._place(trouble)
+        place = self._choose_place(trouble)
         for _ in range(trouble.count):
             domain = self._world.rng.randrange(self._world.deployment.domains)
             self._world.add_runner(place, f"{place}-d{domain}", "engine")
@@ -276,7 +277,7 @@
                                      signal.SIGTERM)
 
     async def _place_cut(self, trouble: deployments.Trouble) -> None:
-        place = self._place(trouble)
+        place = self._choose_place(trouble)
         network = self._world.loop.network
         for machine in self._world.machines.values():
             self._world.run_oracle.record_partition(machine.host)
--- a/tests/experiment/test_sharing.py
+++ b/tests/experiment/test_sharing.py
@@ -1,4 +1,4 @@
-"""Tests nodes that share the tables that a few of them read."""
+"""Tests nodes that get the tables of the store from a few reader nodes."""
 
 import pytest
 
@@ -214,7 +214,7 @@
 
 
 def record_newer_reads(monkeypatch):
-    """Returns a list that records nodes asking peers for a newer one."""
+    """Returns a list that records nodes that ask peers for newer data."""
     asked = []
     read_newer_from_peer = tablereader.TableReader.read_newer_from_peer
 
@@ -271,9 +271,9 @@
         if self._list_reader._selector._node in ("node-a-1", "node-a-2"):
             return
         for known in self._view.known.values():
-            mark = (self, known.runner.id)
-            if known.leaving_ms and mark not in seen:
-                seen.add(mark)
+            pair = (self, known.runner.id)
+            if known.leaving_ms and pair not in seen:
+                seen.add(pair)
                 found.append(clock.now_ms() - left_ms[known.runner.id])
 
     seen = set()
--- a/tests/mixes.py
+++ b/tests/mixes.py
@@ -14,8 +14,8 @@
 from cardamommill.experiment import deployments, world
 from tests.experiment import test_world
 
-# Fields of each kind of fault: the longest that callers tolerate, and severe
-# enough to matter in a deployment of two data centres.
+# Fields of each kind of fault. They are the most severe that clients tolerate,
+# and severe enough to affect a deployment of two data centres.
 KINDS = {
     "runners_dark": {
         "count": 2
@@ -113,14 +113,14 @@
 def draw_with_flow_control(seed: int) -> list[dict[str, object]]:
     """Returns the faults of a seed and two kinds of flow control."""
     rng = random.Random(seed)
-    asked = rng.sample(sorted(FLOW_CONTROL), 2)
+    kinds = rng.sample(sorted(FLOW_CONTROL), 2)
     return draw(seed) + [
         test_world.trouble(kind,
                            at_s=round(rng.uniform(0.5, 4.0), 2),
                            count=rng.randint(1, 2),
                            for_s=round(rng.uniform(1.0, 6.0), 2),
                            factor=round(rng.uniform(*FLOW_CONTROL[kind]), 2))
-        for kind in asked
+        for kind in kinds
     ]
 
 
