--- a/cardamommill/experiment/virtualloop.py
+++ b/cardamommill/experiment/virtualloop.py
@@ -53,7 +53,7 @@
         return self._now_s
 
     def now_ms(self) -> float:
-        """Returns the simulated time in the form of `gateway.clock`."""
+        """Returns the simulated time in milliseconds, for `gateway.clock`."""
         return 1e6 + self._now_s * units.MS_PER_S
 
     def _process_events(self, event_list: Any) -> None:
--- a/cardamommill/experiment/virtualnetwork.py
+++ b/cardamommill/experiment/virtualnetwork.py
@@ -42,11 +42,12 @@
         self.hosts: dict[str, Host] = {}
         self.listeners: dict[Address, Callable[[], asyncio.Protocol]] = {}
         self.datagrams: dict[Address, asyncio.DatagramProtocol] = {}
+        # A dict is used as a set whose iteration order is reproducible.
         self.transports: dict[FakeTransport, None] = {}
         self.in_place_ms = 0.2
         self.between_places_ms = 1.4
         self.loss = 0.0
-        self._cut: set[frozenset[str]] = set()
+        self._cut_links: set[frozenset[str]] = set()
         self._rng = rng
 
     def host(self, name: str) -> Host:
@@ -55,22 +56,22 @@
 
     def cut(self, one: str, other: str) -> None:
         """Cuts the link between two hosts."""
-        self._cut.add(frozenset((one, other)))
+        self._cut_links.add(frozenset((one, other)))
 
     def heal(self) -> None:
         """Restores all links that were cut."""
-        self._cut.clear()
+        self._cut_links.clear()
 
     def reaches(self, source: str, target: str) -> bool:
         """Returns whether packets from one host arrive at another."""
         if self.host(source).is_unreachable or self.host(target).is_unreachable:
             return False
-        return frozenset((source, target)) not in self._cut
+        return frozenset((source, target)) not in self._cut_links
 
     def delay_s(self, source: str, target: str) -> float:
         """Returns the delay of a packet, chosen at random."""
-        same = self.host(source).place == self.host(target).place
-        base_ms = self.in_place_ms if same else self.between_places_ms
+        same_place = self.host(source).place == self.host(target).place
+        base_ms = self.in_place_ms if same_place else self.between_places_ms
         return base_ms * self._rng.uniform(1.0, 1.1) / units.MS_PER_S
 
     def lost(self) -> bool:
@@ -117,7 +118,7 @@
         self._closing = False
         self._paused = False
         self._receive_buffer: list[bytes] = []
-        self._last_s = 0.0
+        self._last_arrival_s = 0.0
         network.transports[self] = None
 
     def join(self, peer: "FakeTransport") -> None:
@@ -189,19 +190,20 @@
         self._schedule_delivery(self._notify_peer_closed, error)
         self._loop.call_soon(self._protocol.connection_lost, None)
 
-    def _schedule_delivery(self, act: Callable[[Any], None], what: Any) -> None:
+    def _schedule_delivery(self, handler: Callable[[Any], None],
+                           what: Any) -> None:
         # Packets of a connection stay in order.
         at_s = max(
             self._loop.time() +
             self._network.delay_s(self.host, self._peer_host),
-            self._last_s + MIN_PACKET_GAP_S)
-        self._last_s = at_s
-        self._loop.call_at(at_s, self._arrive, act, what)
+            self._last_arrival_s + MIN_PACKET_GAP_S)
+        self._last_arrival_s = at_s
+        self._loop.call_at(at_s, self._arrive, handler, what)
 
-    def _arrive(self, act: Callable[[Any], None], what: Any) -> None:
-        # Data that arrives while the link is cut is lost.
+    def _arrive(self, handler: Callable[[Any], None], what: Any) -> None:
+        # Whatever arrives while the link is cut is lost, also a close or reset.
         if self._network.reaches(self.host, self._peer_host):
-            act(what)
+            handler(what)
 
     def _deliver(self, data: bytes) -> None:
         if self._peer is not None:
--- a/cardamommill/experiment/world.py
+++ b/cardamommill/experiment/world.py
@@ -40,7 +40,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Machine:
-    """An entry VM and the process on it."""
+    """An entry VM and the process on it.
+
+    Attributes:
+        failed_probes: Consecutive failed readiness probes; a node with two or
+            more is not ready.
+    """
 
     name: str
     host: str
@@ -143,8 +148,8 @@
         """Returns the node address that the balancer chooses for a connection.
 
         It prefers ready nodes of the data centre. If fewer than half of its
-        nodes are ready it uses all of them, and if none is, ready nodes of the
-        other data centres. Returns None if no node is ready.
+        nodes are ready, it uses all of them; if none of them is ready, it uses
+        the ready nodes of other data centres. Returns None if no node is ready.
         """
         local = [each for each in self.machines.values() if each.place == place]
         ready = [each for each in local if each.failed_probes < 2]
@@ -188,7 +193,7 @@
         for name in self.machines:
             self.start_node(name)
         self.spawn("balancer", self._run_balancer())
-        self.spawn("store", self._expire_entries())
+        self.spawn("store", self._sample_groups_and_expire_entries())
 
     def add_runner(self, place: str, domain: str,
                    service: str) -> modelrunner.ModelRunner:
@@ -260,7 +265,7 @@
         machine.failed_probes = (0 if answer.head.status == 200 else
                                  machine.failed_probes + 1)
 
-    async def _expire_entries(self) -> None:
+    async def _sample_groups_and_expire_entries(self) -> None:
         while True:
             await asyncio.sleep(0.2)
             self.open_groups.append((clock.now_ms(), self._count_open_groups()))
@@ -276,9 +281,9 @@
             place = runner.membership
             if (place is not None and not place.rank and
                     not runner.is_unreachable and place.state.value == "open"):
-                whole = all(not self.fleet.runners[each].is_unreachable
-                            for each in runner.members)
-                if whole:
+                all_reachable = all(not self.fleet.runners[each].is_unreachable
+                                    for each in runner.members)
+                if all_reachable:
                     counts[runner.served] = counts.get(runner.served, 0) + 1
         return counts
 
@@ -302,8 +307,10 @@
         injector = troubles.Troubles(self)
         for trouble in self.deployment.troubles:
             self.spawn("troubles", injector.inject(trouble))
-        longest_ms = max(each.deadline_ms for each in self.deployment.kinds)
-        await asyncio.sleep(self.deployment.length_s + longest_ms / 1000)
+        longest_deadline_ms = max(
+            each.deadline_ms for each in self.deployment.kinds)
+        await asyncio.sleep(self.deployment.length_s +
+                            longest_deadline_ms / 1000)
         return Outcome(self.deployment.name, [
             result for each in self.clients.values() for result in each.results
         ], self.run_oracle.violations, self.open_groups, self.store.calls,
--- a/tests/experiment/test_mixes.py
+++ b/tests/experiment/test_mixes.py
@@ -1,4 +1,4 @@
-"""Tests of rules under random mixes of faults, with fixed seeds."""
+"""Tests the oracle's rules under random mixes of faults, with fixed seeds."""
 
 import pytest
 
--- a/tests/experiment/test_shifted_work.py
+++ b/tests/experiment/test_shifted_work.py
@@ -20,7 +20,7 @@
 
 
 def served_in_time(seed):
-    """Returns the fraction in time once groups can have moved."""
+    """Returns the fraction of requests in time once groups can have moved."""
     deployment = deployments.Deployment(name="shifted",
                                         lead_s=9,
                                         length_s=18,
--- a/tests/experiment/test_world.py
+++ b/tests/experiment/test_world.py
@@ -1,4 +1,4 @@
-"""Runs nodes against a simulated platform and checks all rules.
+"""Runs nodes against a simulated platform and checks all rules of the oracle.
 
 Each test takes some seconds and injects faults that are common in production
 into a small deployment.
@@ -178,7 +178,7 @@
 
 
 # In ten of twenty-four seeds the survivors form a slow group and new runners a
-# fast one. Which runners die depends on everything that a node does.
+# fast one. Any change to what a node does can change which runners die.
 SLOW_GROUP_SEEDS = (1, 5, 7, 8, 10, 11, 12, 14, 15, 21, 23, 24)
 MIN_CLOSED = 3
 
@@ -186,17 +186,18 @@
 def test_slow_groups_are_given_up_without_breaking_a_rule(monkeypatch):
     """Members die in turn; survivors in two domains form a slow group.
 
-    New runners register, and the slow group is closed for a fast one. Its
-    callers get complete answers, and no runner is in two groups meanwhile.
+    New runners register, and the slow group is closed for a fast one.
+    Callers of the slow group get complete answers, and no runner is in two
+    groups meanwhile.
     """
     closed = []
     close = modelorders.OrderExecutor._close
 
-    def noted(orders, order):
+    def record_close(executor, order):
         closed.append(order["group"])
-        return close(orders, order)
+        return close(executor, order)
 
-    monkeypatch.setattr(modelorders.OrderExecutor, "_close", noted)
+    monkeypatch.setattr(modelorders.OrderExecutor, "_close", record_close)
     deaths = [
         trouble("runners_dark", at_s=1.0 + 0.8 * number, count=2, place="a")
         for number in range(5)
@@ -284,7 +285,10 @@
 
 
 def test_revoked_keys_stay_out_when_the_store_loses_the_revocation(monkeypatch):
-    """A node that starts later reads the version before the revocation."""
+    """A node that starts after the store lost the revocation reads old keys.
+
+    The store then has the version before the revocation.
+    """
     assert not _play_lost_revocation(monkeypatch).violations
 
 
