--- a/cardamommill/gateway/dispatcher.py
+++ b/cardamommill/gateway/dispatcher.py
@@ -244,7 +244,7 @@
             unreported_requests=placing.unreported_requests(
                 engine, served.pace, others_requests, self._group_loads.age_ms),
             overhead_ms=self.forecast.overhead_ms(service.name))
-        placed = placing.place(engine, one.token_counts, candidates, excluded,
+        placed = placing.place(engine, one.request_tokens, candidates, excluded,
                                requirements, self.expected_recovery_ms())
         if isinstance(placed, placing.Refused):
             return placed
@@ -299,7 +299,7 @@
         self._relays.setdefault(target.key, {})[one] = None
         placed = target.placed
         self.in_flight_requests.add_request(target.key, one.attempt_id,
-                                            one.token_counts.prompt_tokens,
+                                            one.request_tokens.prompt_tokens,
                                             placed.is_deferred)
         self.silence.sent(target.key, one.attempt_id, placed.expected, now_ms)
 
--- a/cardamommill/gateway/forwarding.py
+++ b/cardamommill/gateway/forwarding.py
@@ -106,7 +106,7 @@
             if name.lower() not in _HOP_HEADERS]
 
 
-def token_counts(request: callers.CallerRequest) -> placing.TokenCounts:
+def request_tokens(request: callers.CallerRequest) -> placing.RequestTokens:
     """Returns the token counts from the headers of a request; 0 if unknown.
 
     The expected length of the answer, if given, replaces a larger limit.
@@ -118,8 +118,9 @@
     ]
     hint = httpheaders.number(request.get(wirenames.LENGTH_HINT))
     if len(numbers) != 2:
-        return placing.TokenCounts(0, hint or 0)
-    return placing.TokenCounts(numbers[0], min(hint or numbers[1], numbers[1]))
+        return placing.RequestTokens(0, hint or 0)
+    return placing.RequestTokens(numbers[0], min(hint or numbers[1],
+                                                 numbers[1]))
 
 
 def fingerprint(request: callers.CallerRequest) -> int:
--- a/cardamommill/gateway/placing.py
+++ b/cardamommill/gateway/placing.py
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TokenCounts:
+class RequestTokens:
     """Prompt length of a request and expected length of its answer."""
 
     prompt_tokens: int
@@ -202,7 +202,7 @@
     return requests * age_ms / duration_ms
 
 
-def place(engine: model.Engine, token_counts: TokenCounts,
+def place(engine: model.Engine, request_tokens: RequestTokens,
           candidates: Iterable[Candidate], excluded: frozenset[model.GroupKey],
           requirements: Requirements, form_ms: float) -> Placed | Refused:
     """Chooses a group for a request, or refuses the request.
@@ -225,7 +225,7 @@
 
     Args:
         engine: The engine's cost model.
-        token_counts: Prompt and answer length of the request.
+        request_tokens: Prompt and answer length of the request.
         candidates: The available groups of the request's model.
         excluded: Groups that the request was already sent to.
         requirements: Time limits of the request.
@@ -237,7 +237,7 @@
         return backpressure_refusal((each.wait_ms for each in available),
                                     requirements.jitter)
     placed = [
-        _estimate(engine, token_counts, each, requirements.overhead_ms)
+        _estimate(engine, request_tokens, each, requirements.overhead_ms)
         for each in accepting
     ]
     trusted = [each for each in placed if not each.candidate.is_doubted]
@@ -386,7 +386,7 @@
             candidate.pace / candidate.places + candidate.fail_odds)
 
 
-def _estimate(engine: model.Engine, counts: TokenCounts, candidate: Candidate,
+def _estimate(engine: model.Engine, counts: RequestTokens, candidate: Candidate,
               overhead_ms: float) -> Placed:
     running = min(candidate.in_flight, candidate.places)
     one_pass_ms = pass_ms(engine, running + 1, candidate.pace)
--- a/cardamommill/gateway/relay.py
+++ b/cardamommill/gateway/relay.py
@@ -110,7 +110,7 @@
         route: The route of the request, once it is known.
         tenant: The holder of the API key; None where no key is needed.
         service: The name of the service of the last placement.
-        token_counts: Prompt length and expected length of the answer.
+        request_tokens: Prompt length and expected length of the answer.
         model_name: The name of the requested model; empty for none.
         attempted: The targets of all attempts so far.
         may_have_run_at: Those of `attempted` that may have run the request.
@@ -130,7 +130,7 @@
         self.tenant: model.Tenant | None = None
         self._key_digest = b""
         self.service = ""
-        self.token_counts = forwarding.token_counts(request)
+        self.request_tokens = forwarding.request_tokens(request)
         self.model_name = request.get(wirenames.MODEL) or ""
         self.attempted: list[Target] = []
         self.may_have_run_at: list[Target] = []
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -8,7 +8,7 @@
 from tests.gateway import builders
 
 ENGINE = builders.engine()
-TOKEN_COUNTS = placing.TokenCounts(1000, 180)
+REQUEST_TOKENS = placing.RequestTokens(1000, 180)
 REQUIREMENTS = placing.Requirements(300.0, 1600.0, 8000.0, 0.5)
 
 
@@ -26,8 +26,8 @@
 def place(*candidates,
           requirements=REQUIREMENTS,
           excluded=frozenset(),
-          token_counts=TOKEN_COUNTS):
-    return placing.place(ENGINE, token_counts, candidates, excluded,
+          request_tokens=REQUEST_TOKENS):
+    return placing.place(ENGINE, request_tokens, candidates, excluded,
                          requirements, 700.0)
 
 
@@ -91,12 +91,12 @@
     with a deadline of 8 s: the caller would wait in vain. Without another group
     the slow one is still used, since the answer's length is an estimate.
     """
-    long = placing.TokenCounts(200, 560)
+    long = placing.RequestTokens(200, 560)
     slow = candidate("slow", 0, pace=2.5)
     quick = candidate("quick", 17)
-    assert place(slow, quick, token_counts=long).candidate.key.name == "quick"
+    assert place(slow, quick, request_tokens=long).candidate.key.name == "quick"
     assert place(slow, quick).candidate.key.name == "slow"
-    assert place(slow, token_counts=long).candidate.key.name == "slow"
+    assert place(slow, request_tokens=long).candidate.key.name == "slow"
 
 
 def test_avoided_group_is_used_only_without_an_alternative():
@@ -149,9 +149,9 @@
 
 
 def test_long_prompt_delays_the_first_event():
-    short = placing.place(ENGINE, placing.TokenCounts(100, 10), [candidate()],
+    short = placing.place(ENGINE, placing.RequestTokens(100, 10), [candidate()],
                           frozenset(), REQUIREMENTS, 0)
-    long = placing.place(ENGINE, placing.TokenCounts(5000, 10), [candidate()],
+    long = placing.place(ENGINE, placing.RequestTokens(5000, 10), [candidate()],
                          frozenset(), REQUIREMENTS, 0)
     assert long.first_event_ms > short.first_event_ms + 90
 
